--- a/src/placement/cohorts.ts
+++ b/src/placement/cohorts.ts
@@ -1,35 +1,35 @@
-/** Which endpoints of an upstream take part in what, by the version that they report. */
+/** The roles of an upstream's endpoints in a roll-out, by the version that they report. */
 
 /**
  * - `stable`: takes requests.
- * - `trial`: takes the share that the trial of its version has.
- * - `held`: takes requests only where no other endpoint could.
- * - `shut`: takes none.
+ * - `trial`: takes the share of first attempts that the trial of its version has.
+ * - `held`: held back; takes requests only if the upstream has no `stable` endpoint.
+ * - `shut`: takes no requests.
  */
 export type Role = 'stable' | 'trial' | 'held' | 'shut';
 
-/** What the endpoints on trial get at an instant. */
+/** What the endpoints on trial get at present. */
 export interface TrialShare {
-  /** Share of the first attempts, 0 to 1. */
+  /** Share of first attempts, 0 to 1. */
   readonly share: number;
-  /** How many of them take it. */
+  /** Number of endpoints that take it at a time. */
   readonly count: number;
-  /** Where among them the counting begins. */
+  /** Number of the turn: in each turn the next `count` endpoints take the share. */
   readonly turn: number;
 }
 
-export abstract class Cohorts {
-  /** Rises when any endpoint's role may have changed. */
+export abstract class VersionRoles {
+  /** Increases when the role of any endpoint may have changed. */
   abstract get generation(): number;
 
   abstract roleOf(upstream: string, version: string | undefined): Role;
 
-  /** What the trial of an upstream's next version gets, beside `stable` endpoints. */
+  /** What the version on trial gets, given the number of `stable` endpoints of the upstream. */
   abstract trialShare(upstream: string, stable: number, now: number): TrialShare;
 }
 
-/** All endpoints are alike, whatever version they report. */
-export class OneCohort extends Cohorts {
+/** Gives all endpoints the role `stable`, whatever version they report. */
+export class AllStable extends VersionRoles {
   readonly generation = 0;
 
   roleOf(): Role {
--- a/src/placement/groups.ts
+++ b/src/placement/groups.ts
@@ -1,46 +1,46 @@
-/** The endpoints of each upstream, in the order in which they are asked. */
+/** Groups the endpoints of each upstream by data centre and by the role of their version. */
 import { type Endpoint, type Member } from '../contracts.js';
 import { type Roster } from '../membership/roster.js';
 import { type Clock } from '../runtime/clock.js';
-import { type Cohorts } from './cohorts.js';
+import { type VersionRoles } from './cohorts.js';
 import { Experience } from './experience.js';
 
 /** Latency assumed before the first answer from any endpoint, in milliseconds. */
-export const FIRST_GUESS_MS = 1;
+export const INITIAL_LATENCY_MS = 1;
 
-/** The endpoints of one upstream, as seen from the own data centre. */
-export interface Group {
-  readonly near: Experience[];
-  readonly far: Experience[];
-  /** Those whose version is on trial, in the same order in all processes. */
+/** The endpoints of one upstream; `local` ones are in the data centre of this process. */
+export interface EndpointGroup {
+  readonly local: Experience[];
+  readonly remote: Experience[];
+  /** Endpoints whose version is on trial, in the same order in all processes. */
   readonly trial: Experience[];
-  /** Those that take requests only if no other does. */
+  /** Endpoints that take requests only if no other does. */
   readonly held: Experience[];
-  /** Moving average of all answers, in milliseconds. */
+  /** Moving average of the latency of all answers, in milliseconds. */
   typicalMs: number;
 }
 
-/** Made anew when the roster changes, or the roles of versions; what was seen of an endpoint stays. */
-export class Groups {
-  #experiences = new Map<string, Experience>();
+/** Rebuilt when the roster or the roles of versions change; the statistics of endpoints are kept. */
+export class EndpointGroups {
+  #stats = new Map<string, Experience>();
 
   #generation = -1;
 
-  #cohortsGeneration = -1;
+  #rolesGeneration = -1;
 
-  #groups = new Map<string, Group>();
+  #groups = new Map<string, EndpointGroup>();
 
   constructor(
     private readonly roster: Roster,
-    private readonly cohorts: Cohorts,
+    private readonly roles: VersionRoles,
     private readonly clock: Clock,
   ) {}
 
-  /** Undefined if nobody takes work for the upstream. */
-  of(upstream: string): Group | undefined {
-    const { generation } = this.cohorts;
-    if (this.#generation !== this.roster.generation || this.#cohortsGeneration !== generation) {
-      this.#cohortsGeneration = generation;
+  /** The group of an upstream; undefined if no endpoint takes its requests. */
+  of(upstream: string): EndpointGroup | undefined {
+    const { generation } = this.roles;
+    if (this.#generation !== this.roster.generation || this.#rolesGeneration !== generation) {
+      this.#rolesGeneration = generation;
       this.#index();
     }
     return this.#groups.get(upstream);
@@ -49,52 +49,52 @@
   #index(): void {
     const isFirst = this.#generation < 0;
     const before = this.#groups;
-    const known = this.#experiences;
+    const knownStats = this.#stats;
     this.#generation = this.roster.generation;
     this.#groups = new Map();
-    this.#experiences = new Map();
+    this.#stats = new Map();
     for (const member of this.roster.live()) {
       if (member.endpoint?.state !== 'ready') continue;
-      const experience = known.get(member.instance) ?? this.#meet(member, isFirst);
-      experience.member = member;
-      this.#experiences.set(member.instance, experience);
-      this.#place(experience, member.endpoint, before);
+      const stats = knownStats.get(member.instance) ?? this.#createStats(member, isFirst);
+      stats.member = member;
+      this.#stats.set(member.instance, stats);
+      this.#assign(stats, member.endpoint, before);
     }
-    for (const group of this.#groups.values()) this.#arrange(group);
+    for (const group of this.#groups.values()) this.#finish(group);
   }
 
-  /** At the start of this process nobody is known yet, and all are taken for warm. */
-  #meet(member: Member, isFirst: boolean): Experience {
-    const experience = new Experience(member);
-    if (!isFirst) experience.readySince = this.clock.now();
-    return experience;
+  /** Endpoints that are known when this process starts are taken for warm, later ones for cold. */
+  #createStats(member: Member, isFirst: boolean): Experience {
+    const stats = new Experience(member);
+    if (!isFirst) stats.readySince = this.clock.now();
+    return stats;
   }
 
-  #place(
-    experience: Experience,
+  #assign(
+    stats: Experience,
     { upstream, version }: Endpoint,
-    before: ReadonlyMap<string, Group>,
+    before: ReadonlyMap<string, EndpointGroup>,
   ): void {
     let group = this.#groups.get(upstream);
     if (!group) {
-      const typicalMs = before.get(upstream)?.typicalMs ?? FIRST_GUESS_MS;
-      group = { near: [], far: [], trial: [], held: [], typicalMs };
+      const typicalMs = before.get(upstream)?.typicalMs ?? INITIAL_LATENCY_MS;
+      group = { local: [], remote: [], trial: [], held: [], typicalMs };
       this.#groups.set(upstream, group);
     }
-    const role = this.cohorts.roleOf(upstream, version);
-    if (role === 'stable') this.#admit(group, experience);
-    else if (role !== 'shut') group[role].push(experience);
+    const role = this.roles.roleOf(upstream, version);
+    if (role === 'stable') this.#addStable(group, stats);
+    else if (role !== 'shut') group[role].push(stats);
   }
 
-  #admit({ near, far }: Group, experience: Experience): void {
-    const isNear = experience.member.dataCentre === this.roster.self.dataCentre;
-    (isNear ? near : far).push(experience);
+  #addStable({ local, remote }: EndpointGroup, stats: Experience): void {
+    const isLocal = stats.member.dataCentre === this.roster.self.dataCentre;
+    (isLocal ? local : remote).push(stats);
   }
 
-  #arrange(group: Group): void {
-    const { near, far, trial, held } = group;
+  #finish(group: EndpointGroup): void {
+    const { local, remote, trial, held } = group;
     trial.sort((one, other) => (one.member.instance < other.member.instance ? -1 : 1));
-    if (near.length + far.length > 0) return;
-    for (const experience of held) this.#admit(group, experience);
+    if (local.length + remote.length > 0) return;
+    for (const stats of held) this.#addStable(group, stats);
   }
 }
--- a/src/placement/retry_budget.ts
+++ b/src/placement/retry_budget.ts
@@ -1,46 +1,46 @@
-/** How many retries one process may add for an upstream, and when they go out. */
+/** Limits the retries that one process adds for an upstream, and schedules them. */
 import { type Verdict } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 
-/** An attempt that failed, as far as the decision to try again needs it. */
+/** A failed attempt, as the decision on a retry needs it. */
 export interface FailedAttempt {
   readonly verdict: Verdict;
-  /** Stable reason of the failure, as in the refusal's header. */
+  /** Reason code of the failure, as in the header of the refusal. */
   readonly reason: string;
-  /** Attempts that reached an upstream instance, or may have, the failed one included. */
+  /** Number of attempts that reached an upstream instance, or may have, including the failed one. */
   readonly attempts: number;
-  /** Attempts that certainly reached none, the failed one included. */
+  /** Number of attempts that certainly reached none, including the failed one. */
   readonly moves?: number;
-  /** Attempts that the route allows; the usual number when absent. */
+  /** Number of attempts that the route allows; `MAX_ATTEMPTS` when absent. */
   readonly maxAttempts?: number | undefined;
-  /** Whether the request may run twice. */
+  /** Whether the request may be run twice. */
   readonly repeatable: boolean;
-  /** Whether another hop, above or below, has retried this request already. */
+  /** Whether another hop, closer to the caller or to the upstream, has retried this request already. */
   readonly retriedElsewhere: boolean;
   /** Instant by which the request must be answered, in milliseconds since the epoch. */
   readonly deadline: number;
 }
 
-/** A further attempt that was granted. */
+/** A retry that was granted. */
 export interface Retry {
   /** Instant at which it may start, in milliseconds since the epoch. */
   readonly startAt: number;
-  /** Whether the request moves to another endpoint because the last one never took it. */
+  /** Whether the request moves to another endpoint because the last one did not accept it. */
   readonly isFailover: boolean;
 }
 
-/** Why a request is not sent again. */
+/** Why a request is not retried. */
 export type Denial = 'retries-off' | 'attempts-used' | 'moves-used' | 'not-repeatable';
 
 export const MAX_ATTEMPTS = 3;
 /**
- * Moves to another endpoint by one request at most. Under overload each further one finds no room
- * either, and costs a process the time in which it could have answered.
+ * Maximum number of failovers per request. Under overload a further endpoint has no capacity either,
+ * and the attempt costs a process time in which it could have answered.
  */
 const MAX_MOVES = 2;
 const RETRY_COST = 1;
-/** Reasons for which the process beside one endpoint, or the way there, did not take the request. */
+/** Reasons with which a request was not accepted by the guard of an endpoint, or did not reach it. */
 const FAILOVER_REASONS: ReadonlySet<string> = new Set([
   'connection',
   'unreachable',
@@ -49,8 +49,8 @@
   'overloaded',
 ]);
 /**
- * Reasons that another attempt soon can't change. The caller gets the final answer at once, with
- * when to come back.
+ * Reasons that will not change within the time of a retry. The caller gets the refusal at once, with
+ * the time after which to retry.
  */
 const FINAL_REASONS: ReadonlySet<string> = new Set([
   'store-unavailable',
@@ -64,37 +64,37 @@
 ]);
 const BACKOFF_BASE_MS = 10;
 const BACKOFF_CAP_MS = 250;
-/** An attempt that would have less time than this cannot be answered; it would only add load. */
-const LEAST_ATTEMPT_MS = 5;
+/** Minimum time for an attempt; with less it could not be answered and would only add load. */
+const MIN_ATTEMPT_MS = 5;
 
 const MS_PER_SECOND = 1_000;
 
-/** What the retries of one process for one upstream may come to. */
+/** Limits on the retries of one process for one upstream, beside those earned by answers. */
 export interface Allowance {
-  /** Most tokens saved up: what a burst of retries after a quiet time may spend. */
+  /** Maximum number of saved tokens: the size of a burst of retries after an idle time. */
   readonly burst: number;
-  /** Tokens earned by time alone, so that a quiet service can still retry now and then. */
+  /** Tokens earned per second regardless of answers, so that a service with few requests can retry. */
   readonly perSecond: number;
 }
 
-const USUAL: Allowance = { burst: 20, perSecond: 0.5 };
+const DEFAULT_ALLOWANCE: Allowance = { burst: 20, perSecond: 0.5 };
 
-/** What a process is allowed. */
+/** Retry settings of a process. */
 export interface Retries {
-  /** As a percentage of answered requests, for routes that name no limit. */
+  /** Retries as a percentage of answered requests, for routes without a limit of their own. */
   readonly percent: number;
   readonly allowance: () => Allowance;
 }
 
-export const USUAL_RETRIES: Retries = { percent: 10, allowance: () => USUAL };
+export const USUAL_RETRIES: Retries = { percent: 10, allowance: () => DEFAULT_ALLOWANCE };
 
-/** Share of the fleet's slack that may be spent in a burst, and over a whole window. */
+/** Shares of the fleet's slack that may be spent in a burst, and steadily over a whole window. */
 const BURST_SHARE = 0.4;
 const STEADY_SHARE = 0.3;
 
 /**
- * This process's part of what the whole fleet may add within any window of `windowMs`: `slack`
- * retries beside the percentage. Nobody is asked; each takes an equal part.
+ * The allowance of one process if the whole fleet may add `slack` retries, beside the percentage,
+ * within any window of `windowMs`. Each process takes an equal part without coordination.
  */
 export function partOf(slack: number, windowMs: number, processes: number): Allowance {
   const part = slack / Math.max(1, processes);
@@ -105,9 +105,9 @@
 }
 
 /**
- * Token bucket for the retries of one upstream. Tokens are earned by requests that were answered,
- * not by those begun: while a service fails altogether its callers retry at the floor only. With
- * calls several deep each level would otherwise multiply the load on whatever fails at the bottom.
+ * Token bucket for the retries of one upstream. Tokens are earned by answered requests, not by
+ * requests sent: while a service fails completely, its callers retry only at the rate of
+ * `perSecond`. In a chain of calls each level would otherwise multiply the load on the failing one.
  */
 export class RetryBudget {
   #tokens: number;
@@ -117,47 +117,47 @@
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly allowance: () => Allowance = () => USUAL,
+    private readonly allowance: () => Allowance = () => DEFAULT_ALLOWANCE,
   ) {
     this.#tokens = allowance().burst / 2;
     this.#refilledAt = clock.now();
   }
 
-  /** Retries that could go out now. */
+  /** Number of retries that could be sent now. */
   get tokens(): number {
     return this.#tokens;
   }
 
-  /** Earns what one answered request is worth: `retryPercent` of a retry. */
+  /** Adds the tokens of one answered request: `retryPercent` percent of a retry. */
   credit(retryPercent: number): void {
     this.#tokens = Math.min(this.allowance().burst, this.#tokens + retryPercent / 100);
   }
 
-  /** Pays for a further attempt; undefined if there must be none. */
+  /** Grants a retry and spends its token; undefined if there must be none. */
   retry(failed: FailedAttempt, retryPercent: number): Retry | undefined {
     if (this.denial(failed, retryPercent)) return undefined;
     const isFailover = isUnoffered(failed);
     const now = this.clock.now();
     const startAt = isFailover ? now : now + this.#backoff(failed.attempts);
-    if (startAt + LEAST_ATTEMPT_MS > failed.deadline) return undefined;
-    // A move adds nothing to what any upstream instance has to bear, so it is free.
-    if (!isFailover && !this.#pay(now)) return undefined;
+    if (startAt + MIN_ATTEMPT_MS > failed.deadline) return undefined;
+    // A failover is free: no upstream instance has got the request, so it adds no load.
+    if (!isFailover && !this.#spend(now)) return undefined;
     return { startAt, isFailover };
   }
 
-  /** Why there must be no further attempt, whatever the budget holds. */
+  /** Why there must be no retry, regardless of the budget; undefined if one is allowed. */
   denial(failed: FailedAttempt, retryPercent: number): Denial | undefined {
     if (retryPercent === 0) return 'retries-off';
     if (failed.attempts >= (failed.maxAttempts ?? MAX_ATTEMPTS)) return 'attempts-used';
     if (isUnoffered(failed)) return (failed.moves ?? 0) > MAX_MOVES ? 'moves-used' : undefined;
-    return maySendAgain(failed) ? undefined : 'not-repeatable';
+    return mayRetry(failed) ? undefined : 'not-repeatable';
   }
 
   #backoff(attempts: number): number {
     return this.random.jitter(Math.min(BACKOFF_CAP_MS, BACKOFF_BASE_MS * 2 ** (attempts - 1)));
   }
 
-  #pay(now: number): boolean {
+  #spend(now: number): boolean {
     const { burst, perSecond } = this.allowance();
     const earned = (Math.max(0, now - this.#refilledAt) * perSecond) / MS_PER_SECOND;
     this.#refilledAt = now;
@@ -168,14 +168,14 @@
   }
 }
 
-/** The budgets of one process, by upstream. Their number is that of configured upstreams. */
+/** The budgets of one process by upstream; bounded by the number of configured upstreams. */
 export class RetryBudgets {
   readonly #budgets = new Map<string, RetryBudget>();
 
   constructor(
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly allowance: () => Allowance = () => USUAL,
+    private readonly allowance: () => Allowance = () => DEFAULT_ALLOWANCE,
   ) {}
 
   get all(): ReadonlyMap<string, RetryBudget> {
@@ -200,8 +200,8 @@
   return verdict === 'not-run' && FAILOVER_REASONS.has(reason);
 }
 
-/** An answer (`ran`) stands. What may have run is sent again only if it may run twice. */
-function maySendAgain({ verdict, reason, repeatable, retriedElsewhere }: FailedAttempt): boolean {
+/** An answer (`ran`) is final. A request that may have run is retried only if it may be run twice. */
+function mayRetry({ verdict, reason, repeatable, retriedElsewhere }: FailedAttempt): boolean {
   if (retriedElsewhere || verdict === 'ran' || FINAL_REASONS.has(reason)) return false;
   return verdict === 'not-run' || repeatable;
 }
--- a/src/placement/returns.ts
+++ b/src/placement/returns.ts
@@ -1,62 +1,62 @@
-/** Knows callers again who were turned away here and come back. */
+/** Recognizes callers that were refused by this process and retry. */
 
 /**
- * How far the instant until which a caller waits may seem to move between its attempts, in
- * milliseconds: a new connection takes two ways to the caller, and a loaded process reads late.
+ * How far the computed `givesUpAt` of one caller may differ between its attempts, in milliseconds:
+ * a new connection takes a round trip to the caller, and a loaded process reads requests late.
  */
 const TOLERANCE_MS = 150;
-/** Callers that are remembered, some seconds of refusals in a storm; then the oldest go. */
-const MAX_REMEMBERED = 4_096;
-/** Characters of what they ask for; callers choose how long their paths are. */
+/** Maximum number of callers, some seconds of refusals under heavy overload; the oldest are evicted. */
+const MAX_CALLERS = 4_096;
+/** Maximum length of all keys together, in characters: callers choose the length of their paths. */
 const MAX_CHARACTERS = 1_000_000;
 
-/** What a caller's attempts have in common. */
+/** What all attempts of a caller have in common. */
 export interface Caller {
-  /** What it asks for: the same in all its attempts. */
+  /** Identifies what it requests; the same in all its attempts. */
   readonly asks: string;
-  /** Until when it waits, in milliseconds since the epoch; it stays with the first attempt's. */
+  /** Until when it waits, in milliseconds since the epoch; the same in all its attempts. */
   readonly givesUpAt: number;
 }
 
-interface Remembered extends Caller {
+interface RememberedCaller extends Caller {
   /** Instant of its first attempt, in milliseconds since the epoch. */
   readonly firstAt: number;
 }
 
 /**
- * The time in which an answer is of full use to a caller counts from its first attempt. One who was
- * turned away and comes back is late already, but says only how much longer it waits, and callers
- * do not all wait equally long. Taken for one who has just come, it would get a slot before those
- * who can still be answered in time: on a loaded day more than a third of the slots went that way.
- * Who asks for the same thing until the same instant is the same caller.
+ * The target time of an answer counts from the first attempt of its caller. A caller that was
+ * refused and retries is late already, but says only how much longer it waits, which differs
+ * between callers. Taken for a new caller, it would get a slot before those that can still be
+ * answered in time; under heavy load more than a third of the slots were lost that way. Attempts
+ * that request the same until the same instant are taken to come from one caller.
  */
 export class Returns {
-  readonly #remembered = new Map<string, Remembered>();
+  readonly #callers = new Map<string, RememberedCaller>();
 
-  /** Of all that is remembered. */
+  /** Total length of all keys. */
   #characters = 0;
 
-  /** When the caller asked first, in milliseconds since the epoch; `now` if it is not known. */
+  /** Instant of the first attempt, in milliseconds since the epoch; `now` for an unknown caller. */
   firstAt({ asks, givesUpAt }: Caller, now: number): number {
-    const known = this.#remembered.get(asks);
+    const known = this.#callers.get(asks);
     if (!known || Math.abs(known.givesUpAt - givesUpAt) > TOLERANCE_MS) return now;
     return Math.min(known.firstAt, now);
   }
 
-  /** Notes that a caller who asked first at `firstAt` was turned away, and may come back. */
+  /** Records that a caller, whose first attempt was at `firstAt`, was refused and may retry. */
   turnedAway(caller: Caller, firstAt: number): void {
     const { asks, givesUpAt } = caller;
-    // The latest stand last, so that the first are those to forget.
+    // Deleted first, as a map keeps the position of a known key: the first key has to be the oldest.
     this.#forget(asks);
-    this.#remembered.set(asks, { asks, givesUpAt, firstAt });
+    this.#callers.set(asks, { asks, givesUpAt, firstAt });
     this.#characters += asks.length;
-    while (this.#remembered.size > MAX_REMEMBERED || this.#characters > MAX_CHARACTERS) {
-      const [oldest] = this.#remembered.keys();
+    while (this.#callers.size > MAX_CALLERS || this.#characters > MAX_CHARACTERS) {
+      const [oldest] = this.#callers.keys();
       this.#forget(oldest!);
     }
   }
 
   #forget(asks: string): void {
-    if (this.#remembered.delete(asks)) this.#characters -= asks.length;
+    if (this.#callers.delete(asks)) this.#characters -= asks.length;
   }
 }
--- a/src/placement/split.ts
+++ b/src/placement/split.ts
@@ -1,44 +1,44 @@
-/** Deals the requests of a route out to the upstreams that it names, by weight. */
+/** Distributes the requests of a route over the upstreams that it names, by weight. */
 import { type Route } from '../contracts.js';
 
 type Part = NonNullable<Route['split']>[number];
 
-/** How far each part is behind its share. */
-interface Deal {
+/** The parts of a route, and how far each is behind its share. */
+interface RouteState {
   readonly parts: readonly Part[];
-  readonly behind: number[];
+  readonly deficits: number[];
 }
 
 /**
- * Smooth weighted round robin: after any run of requests each part is less than one request off
- * its share. Random choices would stray by the square root of their number, which on a route with
- * few requests is more than a tenth. A part that is short of room keeps its share: its requests
- * are refused, not moved to a part that is not meant to get them.
+ * Smooth weighted round robin: after any number of requests the deviation of each part from its
+ * share stays bounded, by about one request. Random choices would deviate by the square root of the
+ * number of requests, which on a route with few of them is more than a tenth. An overloaded part
+ * keeps its share: its requests are refused, and not moved to a part that should not get them.
  */
 export class Split {
-  readonly #deals = new Map<string, Deal>();
+  readonly #routes = new Map<string, RouteState>();
 
   /** The upstream for the next request of the route. */
   choose({ name, upstream, split }: Route): string {
     if (!split) return upstream;
-    let deal = this.#deals.get(name);
-    if (!deal || deal.parts !== split) {
-      deal = { parts: split, behind: split.map(() => 0) };
-      this.#deals.set(name, deal);
+    let state = this.#routes.get(name);
+    if (!state || state.parts !== split) {
+      state = { parts: split, deficits: split.map(() => 0) };
+      this.#routes.set(name, state);
     }
-    return next(deal);
+    return nextUpstream(state);
   }
 }
 
-function next({ parts, behind }: Deal): string {
+function nextUpstream({ parts, deficits }: RouteState): string {
   let total = 0;
   let chosen = 0;
   for (let index = 0; index < parts.length; index++) {
     const { weight } = parts[index]!;
     total += weight;
-    behind[index]! += weight;
-    if (behind[index]! > behind[chosen]!) chosen = index;
+    deficits[index]! += weight;
+    if (deficits[index]! > deficits[chosen]!) chosen = index;
   }
-  behind[chosen]! -= total;
+  deficits[chosen]! -= total;
   return parts[chosen]!.upstream;
 }
--- a/src/placement/trial_group.ts
+++ b/src/placement/trial_group.ts
@@ -1,50 +1,50 @@
-/** The endpoints of an upstream whose version is on trial, and which requests go there. */
+/** Decides which requests go to a version on trial, and to which of its endpoints. */
 import { type Random } from '../runtime/random.js';
 import { type TrialShare } from './cohorts.js';
 import { type Experience } from './experience.js';
 
-/** Requests that may be owed to the trial at most, so that a pause is not made up for at once. */
-const MOST_OWED = 2;
+/** Maximum number of requests owed to the trial, so that a pause is not followed by a burst. */
+const MAX_OWED = 2;
 
-/** Requests owed to the trial of an upstream, by route: a bad version may fail on one route only. */
-export class TrialDeals {
+/** Counts requests owed to the trial by route, as a bad version may fail on one route only. */
+export class TrialScheduler {
   readonly #owed = new Map<string, number>();
 
   constructor(private readonly random: Random) {}
 
   /** Whether the next request of the route goes to the version on trial. */
-  next(route: string, share: number): boolean {
+  isNextDue(route: string, share: number): boolean {
     if (share <= 0) return false;
-    // Entries begin at random places: together they would else give nothing for long, and then all at once.
+    // Starts at a random value: otherwise all entries would send their first request at the same time.
     const owed = (this.#owed.get(route) ?? this.random.next()) + share;
     const isDue = owed >= 1;
-    this.#owed.set(route, Math.min(MOST_OWED, isDue ? owed - 1 : owed));
+    this.#owed.set(route, Math.min(MAX_OWED, isDue ? owed - 1 : owed));
     return isDue;
   }
 }
 
 /**
- * The endpoint to ask among those whose turn it is; the next ones if these cannot be asked. `members`
- * stand in the same order everywhere, so that all entries load the same few.
+ * Chooses among the endpoints whose turn it is, or the next available one if none of them is.
+ * `members` have the same order in all processes, so that all entries load the same few endpoints.
  */
-export function onTrial(
+export function chooseOnTrial(
   members: readonly Experience[],
   { count, turn }: TrialShare,
   random: Random,
   now: number,
 ): Experience | undefined {
-  const willing = (index: number): Experience | undefined => {
+  const available = (index: number): Experience | undefined => {
     const member = members[(turn * count + index) % members.length];
     return member?.member.liveness === 'alive' && !member.isAvoided(now) ? member : undefined;
   };
-  const among = Math.min(count, members.length);
-  const start = among > 0 ? random.below(among) : 0;
-  for (let step = 0; step < among; step++) {
-    const member = willing((start + step) % among);
+  const size = Math.min(count, members.length);
+  const start = size > 0 ? random.below(size) : 0;
+  for (let step = 0; step < size; step++) {
+    const member = available((start + step) % size);
     if (member) return member;
   }
-  for (let index = among; index < members.length; index++) {
-    const member = willing(index);
+  for (let index = size; index < members.length; index++) {
+    const member = available(index);
     if (member) return member;
   }
   return undefined;
--- a/src/placement/weights.ts
+++ b/src/placement/weights.ts
@@ -1,18 +1,19 @@
-/** What the answers of a route usually weigh. */
+/** Average answer sizes by route. */
 import { SMALL_ANSWER_BYTES } from '../admission/uplink.js';
 
 /** Weight of the newest answer in the moving average. */
 const NEWEST_WEIGHT = 0.1;
-/** Routes that are remembered; beyond that all are forgotten. */
+/** Maximum number of routes; when exceeded, all are forgotten. */
 const MAX_ROUTES = 2_000;
-/** How much longer the own data centre may take for each kilobyte that stays there, in milliseconds. */
-const AWAY_MS_PER_KB = 4;
+/** How much longer the local data centre may take per kilobyte of a large answer, in milliseconds. */
+const REMOTE_MS_PER_KB = 4;
 const BYTES_PER_KB = 1_000;
 
 /**
- * Bytes between data centres are dear, and kinds of request differ a hundredfold in them. Were all
- * sent away alike when the own data centre is short of slots, a few downloads would make up half of
- * what crosses; they wait for a slot nearby instead, and what weighs little goes.
+ * Traffic between data centres is expensive, and answer sizes differ by a factor of a hundred
+ * between routes. If all routes went to other data centres alike when local slots are short, a few
+ * downloads would cause half of that traffic. So requests with large answers wait for a local slot,
+ * and those with small answers go.
  */
 export class Weights {
   readonly #bytes = new Map<string, number>();
@@ -23,15 +24,15 @@
     this.#bytes.set(route, before + (bytes - before) * NEWEST_WEIGHT);
   }
 
-  /** Usual length of its answers if they are heavy, otherwise 0; 0 if none is known. */
+  /** Average size of the route's answers if they are large; otherwise, or if unknown, 0. */
   heavyBytes(route: string): number {
     const bytes = this.#bytes.get(route) ?? 0;
     return bytes > SMALL_ANSWER_BYTES ? bytes : 0;
   }
 
-  /** How much sooner another data centre must be expected to answer, in milliseconds. */
+  /** By how much another data centre must be expected to answer sooner, in milliseconds. */
   awayMs(route: string): number {
     const heavyBytes = Math.max(0, (this.#bytes.get(route) ?? 0) - SMALL_ANSWER_BYTES);
-    return (heavyBytes / BYTES_PER_KB) * AWAY_MS_PER_KB;
+    return (heavyBytes / BYTES_PER_KB) * REMOTE_MS_PER_KB;
   }
 }
--- a/src/rollout/plan.ts
+++ b/src/rollout/plan.ts
@@ -1,7 +1,7 @@
 /** Gives endpoints their roles by the orders that are known. */
 import { type Rollout } from '../contracts.js';
 import { type Roster } from '../membership/roster.js';
-import { Cohorts, type Role, type TrialShare } from '../placement/cohorts.js';
+import { VersionRoles, type Role, type TrialShare } from '../placement/cohorts.js';
 import { type Clock } from '../runtime/clock.js';
 import { isRefused, type Orders } from './orders.js';
 import { countFor, shareOf } from './steps.js';
@@ -24,7 +24,7 @@
   readonly version: string;
 }
 
-export class Plan extends Cohorts {
+export class Plan extends VersionRoles {
   readonly #met = new Map<string, Met>();
 
   constructor(
--- a/src/test/placement/balancer_test.ts
+++ b/src/test/placement/balancer_test.ts
@@ -3,18 +3,18 @@
 import { type EndpointState, type Liveness, OutcomeError } from '../../contracts.js';
 import { Roster } from '../../membership/roster.js';
 import { Balancer } from '../../placement/balancer.js';
-import { Cohorts, type Role, type TrialShare } from '../../placement/cohorts.js';
+import { VersionRoles, type Role, type TrialShare } from '../../placement/cohorts.js';
 import { type Experience } from '../../placement/experience.js';
 import { Clock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { memberOf } from '../requests/path.js';
 
 const SEED = 11;
-/** Time between two requests. */
+/** Time between two requests, in milliseconds. */
 const STEP_MS = 50;
 const NONE: ReadonlySet<Experience> = new Set();
 
-class StillClock extends Clock {
+class ManualClock extends Clock {
   instant = 1_000_000;
 
   now(): number {
@@ -26,17 +26,17 @@
   }
 }
 
-interface Place {
+interface Endpoint {
   readonly name: string;
   readonly dataCentre?: string;
   readonly state?: EndpointState;
   readonly liveness?: Liveness;
 }
 
-function set(places: readonly Place[]) {
-  const clock = new StillClock();
+function setUp(places: readonly Endpoint[]) {
+  const clock = new ManualClock();
   const roster = new Roster(memberOf('entry', 1));
-  const place = ({ name, dataCentre, state = 'ready', liveness = 'alive' }: Place) => ({
+  const place = ({ name, dataCentre, state = 'ready', liveness = 'alive' }: Endpoint) => ({
     ...memberOf(name, 1, dataCentre),
     liveness,
     endpoint: { upstream: 'bookings', state, slots: 20 },
@@ -44,8 +44,8 @@
   roster.merge(places.map(place));
   const balancer = new Balancer(roster, clock, new SeededRandom(SEED));
   const choose = () => balancer.choose('bookings', NONE);
-  /** How often each is chosen in 200 requests, one after the other. */
-  const shares = (latency: (name: string) => number = () => 1) => {
+  /** How often each endpoint is chosen in 200 consecutive requests. */
+  const countChoices = (latency: (name: string) => number = () => 1) => {
     const counts: Record<string, number> = {};
     for (let request = 0; request < 200; request++) {
       const chosen = choose()!;
@@ -56,33 +56,37 @@
     }
     return counts;
   };
-  return { clock, roster, balancer, choose, shares, place };
+  return { clock, roster, balancer, choose, countChoices, place };
 }
 
 const refusal = (reason: string) => new OutcomeError(reason, { verdict: 'not-run', reason });
 
 describe('Balancer', () => {
-  const near: Place[] = [{ name: 'a' }, { name: 'b' }, { name: 'c' }];
-  const far: Place[] = [{ name: 'x', dataCentre: 'tobago' }];
+  const local: Endpoint[] = [{ name: 'a' }, { name: 'b' }, { name: 'c' }];
+  const remote: Endpoint[] = [{ name: 'x', dataCentre: 'tobago' }];
 
-  it('asks the own data centre first', () => {
-    expect(Object.keys(set([...near, ...far]).shares()).sort()).to.deep.equal(['a', 'b', 'c']);
+  it('prefers the local data centre', () => {
+    expect(Object.keys(setUp([...local, ...remote]).countChoices()).sort()).to.deep.equal([
+      'a',
+      'b',
+      'c',
+    ]);
   });
 
-  it('gives a slow endpoint less, and tries it again after a while', () => {
-    const { shares, clock } = set(near);
-    const slow = shares((name) => (name === 'c' ? 50 : 1));
+  it('sends fewer requests to a slow endpoint, and tries it again after a while', () => {
+    const { countChoices, clock } = setUp(local);
+    const slow = countChoices((name) => (name === 'c' ? 50 : 1));
     clock.instant += 120_000;
     const noise = new SeededRandom(SEED);
-    const later = shares(() => 1 + noise.next() / 5);
+    const later = countChoices(() => 1 + noise.next() / 5);
     expect(later.c).to.be.greaterThan(30);
     expect({ slow, later }).toMatchSnapshot();
   });
 
-  // Everybody in the own data centre has refused for lack of room. The next request goes to the
-  // other one, and comes back when the refusals are a moment old.
-  it('spills over when nobody near can serve', () => {
-    const { balancer, choose, clock } = set([...near, ...far]);
+  // Guards against requests that fail while another data centre has capacity, and against staying
+  // there after the local refusals have expired.
+  it('uses another data centre while all local endpoints are avoided', () => {
+    const { balancer, choose, clock } = setUp([...local, ...remote]);
     for (let refused = 0; refused < 3; refused++) {
       balancer.refused(choose()!, refusal('overloaded'), undefined);
     }
@@ -91,9 +95,9 @@
     expect(choose()!.member.dataCentre).to.equal('arima');
   });
 
-  // An endpoint cannot be reached. It is left alone for longer each time, not for good.
-  it('avoids what cannot be reached, for longer each time', () => {
-    const { balancer, clock } = set([{ name: 'a' }, { name: 'b' }]);
+  // Guards against an unreachable endpoint being tried too often, or never again.
+  it('avoids an unreachable endpoint, for longer each time', () => {
+    const { balancer, clock } = setUp([{ name: 'a' }, { name: 'b' }]);
     const lost = balancer.choose('bookings', NONE)!;
     const spans = [1, 2, 3, 4].map(() => {
       balancer.refused(lost, refusal('unreachable'), undefined);
@@ -106,10 +110,10 @@
     expect(spans.every((span) => span <= 2_000)).to.equal(true);
   });
 
-  // Another data centre was cut off a moment ago. While the first request waits for a connection
-  // there, more come. Each of them would wait as long; one is enough to find out.
-  it('lets one request find out whether what was lost can be reached again', () => {
-    const { balancer, clock } = set([{ name: 'a' }, { name: 'b' }]);
+  // Guards against many requests waiting for a connection to an endpoint behind a network partition,
+  // where one is enough to find out.
+  it('sends a single request to probe an endpoint that was unreachable', () => {
+    const { balancer, clock } = setUp([{ name: 'a' }, { name: 'b' }]);
     const lost = balancer.choose('bookings', NONE)!;
     balancer.refused(lost, refusal('unreachable'), undefined);
     clock.instant = lost.avoidUntil;
@@ -123,24 +127,23 @@
     expect(lost.isAvoided(clock.now())).to.equal(false);
   });
 
-  // The data centre of a caller is cut off, and all endpoints are on the other side: they answer
-  // no heartbeats, and no connection could be made a moment ago. Each further attempt would hold
-  // its caller for nothing; it is told at once, and when to come back.
-  it('asks nobody where all are suspect and could not be reached', () => {
-    const { balancer, choose, clock, roster } = set([{ name: 'a' }]);
+  // Guards against callers waiting in vain during a network partition, when all endpoints are on the
+  // other side: no connection could be made, and no heartbeats are answered.
+  it('chooses no endpoint if all are suspect and were unreachable', () => {
+    const { balancer, choose, clock, roster } = setUp([{ name: 'a' }]);
     const lost = choose()!;
     balancer.refused(lost, refusal('unreachable'), undefined);
-    expect(choose(), 'it may have been a lost packet').to.equal(lost);
+    expect(choose(), 'a single failure may come from a lost packet').to.equal(lost);
     roster.merge([{ ...lost.member, liveness: 'suspect' }]);
     expect(choose()).to.equal(undefined);
     clock.instant = lost.avoidUntil;
-    expect(choose(), 'one finds out').to.equal(lost);
+    expect(choose(), 'one request probes it').to.equal(lost);
   });
 
-  // A cut has lasted long. When it has ended, work must come back within seconds, not when a pause
-  // is over that has doubled with each attempt.
-  it('tries what could not be reached again within seconds, however long that was', () => {
-    const { balancer, clock, choose } = set([{ name: 'a' }]);
+  // Guards against a pause that doubled so often during a long network partition that requests do not
+  // return within seconds after its end.
+  it('tries an unreachable endpoint again within seconds, however long it was unreachable', () => {
+    const { balancer, clock, choose } = setUp([{ name: 'a' }]);
     const lost = choose()!;
     for (let attempt = 0; attempt < 20; attempt++) {
       balancer.refused(lost, refusal('unreachable'), undefined);
@@ -149,9 +152,10 @@
     }
   });
 
-  // An endpoint fails each request at once. By latency alone it would look fast and draw all work.
-  it('does not take quick failures for speed', () => {
-    const { balancer, choose } = set(near);
+  // Guards against an endpoint that fails each request at once, and attracts all requests because by
+  // its latency alone it looks fast.
+  it('does not prefer an endpoint because it fails quickly', () => {
+    const { balancer, choose } = setUp(local);
     let failing = 0;
     for (let request = 0; request < 300; request++) {
       const chosen = choose()!;
@@ -162,22 +166,22 @@
     expect(failing).to.be.lessThan(30);
   });
 
-  it('still asks somebody when all are avoided', () => {
-    const { balancer, choose } = set([{ name: 'a' }]);
+  it('still chooses an endpoint when all are avoided', () => {
+    const { balancer, choose } = setUp([{ name: 'a' }]);
     balancer.refused(choose()!, refusal('overloaded'), undefined);
     expect(choose()!.member.instance).to.equal('a');
   });
 
-  it('gives one that has just become ready less at first', () => {
-    const { roster, shares, place, clock } = set([{ name: 'a' }, { name: 'b' }]);
-    shares();
+  it('sends fewer requests at first to an endpoint that has just become ready', () => {
+    const { roster, countChoices, place, clock } = setUp([{ name: 'a' }, { name: 'b' }]);
+    countChoices();
     roster.merge([place({ name: 'c' })]);
-    const early = shares().c ?? 0;
+    const early = countChoices().c ?? 0;
     clock.instant += 60_000;
-    expect([early < 40, shares().c! > 40]).to.deep.equal([true, true]);
+    expect([early < 40, countChoices().c! > 40]).to.deep.equal([true, true]);
   });
 
-  it('never chooses who is draining, gone, tried, or suspect while others can serve', () => {
+  it('never chooses an endpoint that is not ready, dead or tried, nor a suspect one before others', () => {
     const state = fc.constantFrom<EndpointState>('ready', 'draining', 'cold', 'down');
     const liveness = fc.constantFrom<Liveness>('alive', 'suspect', 'dead', 'left');
     const dataCentre = fc.constantFrom('arima', 'tobago');
@@ -186,7 +190,7 @@
       { selector: ({ name }) => name, maxLength: 8 },
     );
     const property = fc.property(places, fc.nat(8), (all, tries) => {
-      const { balancer } = set(all);
+      const { balancer } = setUp(all);
       const tried = new Set<Experience>();
       for (let attempt = 0; attempt < tries; attempt++) {
         const chosen = balancer.choose('bookings', tried);
@@ -195,7 +199,7 @@
         const others = all.filter(
           ({ name }) => ![...tried].some((e) => e.member.instance === name),
         );
-        const isAble = (place: Place) => place.state === 'ready' && place.liveness === 'alive';
+        const isAble = (place: Endpoint) => place.state === 'ready' && place.liveness === 'alive';
         expect(member.endpoint?.state).to.equal('ready');
         expect(['alive', 'suspect']).to.include(member.liveness);
         if (others.some(isAble)) expect(member.liveness).to.equal('alive');
@@ -206,12 +210,10 @@
     fc.assert(property, { seed: SEED, numRuns: 200 });
   });
 
-  // Three endpoints with 6 slots. One refuses a lookup that must be answered within 300 ms. Another
-  // reported a moment ago that 12 requests wait, 100 ms of work each: the lookup would be refused
-  // there as well, which takes two processes' time and keeps the caller from hearing when to come
-  // back. The third has room for it. What is late already needs a slot that is free now.
-  it('moves on after a refusal only to where there may be room', () => {
-    const { balancer, clock, choose } = set(near);
+  // Guards against an attempt at an endpoint that has reported too many waiting requests: it would be
+  // refused there too. A request that is late already needs a slot that is free now.
+  it('moves a refused request only to an endpoint that may have capacity', () => {
+    const { balancer, clock, choose } = setUp(local);
     const all = new Map<string, Experience>();
     while (all.size < 3) {
       const chosen = choose()!;
@@ -228,8 +230,8 @@
     expect(balancer.another('bookings', new Set([a!]), clock.now() - 1)).to.equal(undefined);
   });
 
-  it('asks again where the news of a full line is old', () => {
-    const { balancer, clock } = set([{ name: 'a' }]);
+  it('chooses an endpoint again when its report of a full queue has expired', () => {
+    const { balancer, clock } = setUp([{ name: 'a' }]);
     const a = balancer.choose('bookings', NONE)!;
     const crowded = { inFlight: 6, slots: 6, waiting: 30, heldMs: 100, leavingMs: 0 };
     balancer.refused(a, refusal('overloaded'), crowded);
@@ -241,7 +243,7 @@
   describe('with a version on trial', () => {
     const roles: Record<string, Role> = { v1: 'stable', v2: 'trial', v3: 'shut', v4: 'held' };
 
-    class Trial extends Cohorts {
+    class TrialRoles extends VersionRoles {
       readonly generation = 1;
 
       turn = 0;
@@ -256,13 +258,13 @@
     }
 
     function fleet(versions: readonly string[]) {
-      const { clock, roster, place } = set([]);
+      const { clock, roster, place } = setUp([]);
       const members = versions.map((version, index) => {
         const member = place({ name: `${version}-${index}` });
         return { ...member, endpoint: { ...member.endpoint, version } };
       });
       roster.merge(members);
-      const trial = new Trial();
+      const trial = new TrialRoles();
       const balancer = new Balancer(roster, clock, new SeededRandom(SEED), trial);
       const counts = (choose: () => Experience | undefined) => {
         const found: Record<string, number> = {};
@@ -275,7 +277,7 @@
       return { balancer, trial, counts };
     }
 
-    it('gives its share to those whose turn it is, and nothing to those shut out or held', () => {
+    it('sends its share to the endpoints whose turn it is, and nothing to shut or held ones', () => {
       const versions = ['v1', 'v1', 'v2', 'v2', 'v2', 'v2', 'v3', 'v4'];
       const { balancer, trial, counts } = fleet(versions);
       const first = () => balancer.first('bookings', 'seats');
@@ -284,15 +286,15 @@
       expect([before, counts(first)]).toMatchSnapshot();
     });
 
-    // Guards against retries adding to what a bad version may get.
-    it('sends no second attempt there', () => {
+    // Guards against retries adding to the requests that a bad version may get.
+    it('sends no retry to the version on trial', () => {
       const { balancer, counts } = fleet(['v1', 'v1', 'v2', 'v2']);
       const names = Object.keys(counts(() => balancer.choose('bookings', NONE)));
       expect(names.sort()).to.deep.equal(['v1-0', 'v1-1']);
     });
 
-    // Guards against an upstream being down because it is not known whether its version was ordered.
-    it('asks those held back where there is nobody else', () => {
+    // Guards against an outage of an upstream while it is not known whether its version was ordered.
+    it('chooses held endpoints if there are no others', () => {
       const { balancer, counts } = fleet(['v3', 'v4']);
       expect(counts(() => balancer.first('bookings', 'seats'))).to.deep.equal({ 'v4-1': 400 });
     });
--- a/src/test/placement/retry_budget_test.ts
+++ b/src/test/placement/retry_budget_test.ts
@@ -49,12 +49,9 @@
     expect(budget.retry(failed(), 0)).to.equal(undefined);
   });
 
-  /*
-   * An upstream fails altogether for a minute. Callers would see their calls retried two times
-   * each, and the upstream three times its load just when it comes back. Nothing is answered, so
-   * nothing is earned: after the first burst only the floor of one retry in two seconds is left.
-   */
-  it('leaves only the floor while nothing is answered', () => {
+  // Guards against an upstream that fails for a minute getting three times its load when it recovers.
+  // Without answers, one retry in two seconds is left after the first burst: 10 + 30 in a minute.
+  it('grants only the constant rate of retries while nothing is answered', () => {
     let granted = 0;
     for (let call = 0; call < 600; call++) {
       timers.tick(100);
@@ -63,7 +60,7 @@
     expect(granted).to.equal(40);
   });
 
-  it('lets every answered request pay for one move to another endpoint', () => {
+  it('grants failovers to another endpoint when the budget is spent', () => {
     while (budget.retry(failed(), PERCENT));
     for (let call = 0; call < 100; call++) {
       budget.credit(PERCENT);
@@ -71,7 +68,7 @@
     }
   });
 
-  it('never spends more than it earned, nor starts a retry too late (property)', () => {
+  it('never spends more than it has earned, nor starts a retry after the deadline (property)', () => {
     const step = fc.record({
       waitMs: fc.integer({ min: 0, max: 500 }),
       answers: fc.integer({ min: 0, max: 20 }),
--- a/src/test/placement/returns_test.ts
+++ b/src/test/placement/returns_test.ts
@@ -1,20 +1,19 @@
 import { expect } from 'chai';
 import { Returns } from '../../placement/returns.js';
 
-/** What one process may spend on it: one in a hundred of the smallest machine's memory. */
-const MOST_BYTES = 2_500_000;
+/** Memory that one process may use for it: 1 % of the memory of the smallest machine. */
+const MAX_BYTES = 2_500_000;
 
-describe('Returns', () => {
-  // A caller waits 1,850 ms in all. It is refused, and comes back 600 ms later over a new
-  // connection, which makes its time seem to end 16 ms later. Taken for a new caller it would get
-  // the slot of one who can still be answered in time.
-  it('knows a caller again by what it asks and until when it waits', () => {
+describe('ReturningCallers', () => {
+  // Guards against a refused caller that is taken for a new one, and gets a slot before those still in
+  // time: it retries after 600 ms over a new connection, which moves its end by 16 ms.
+  it('recognizes a caller by what it requests and until when it waits', () => {
     const returns = new Returns();
     returns.turnedAway({ asks: 'GET /menus/7', givesUpAt: 11_850 }, 10_000);
     expect(returns.firstAt({ asks: 'GET /menus/7', givesUpAt: 11_866 }, 10_616)).to.equal(10_000);
   });
 
-  it('keeps the instant of the first attempt over several refusals', () => {
+  it('keeps the instant of the first attempt through several refusals', () => {
     const returns = new Returns();
     const caller = { asks: 'GET /menus/7', givesUpAt: 11_850 };
     returns.turnedAway(caller, 10_000);
@@ -22,16 +21,16 @@
     expect(returns.firstAt(caller, 11_200)).to.equal(10_000);
   });
 
-  // Two callers want the same page. One was refused; the other has just come, and waits until
-  // another instant.
-  it('takes nobody else for that caller', () => {
+  // Guards against a new caller that is taken for a refused one: it requests the same page, but waits
+  // until another instant, or requests another page.
+  it('does not take another caller for the refused one', () => {
     const returns = new Returns();
     returns.turnedAway({ asks: 'GET /menus/7', givesUpAt: 11_850 }, 10_000);
     expect(returns.firstAt({ asks: 'GET /menus/7', givesUpAt: 12_450 }, 10_600)).to.equal(10_600);
     expect(returns.firstAt({ asks: 'GET /menus/8', givesUpAt: 11_850 }, 10_600)).to.equal(10_600);
   });
 
-  it('forgets the oldest of very many', () => {
+  it('evicts the oldest callers beyond the maximum number', () => {
     const returns = new Returns();
     for (let caller = 0; caller < 5_000; caller++) {
       returns.turnedAway({ asks: `GET /${caller}`, givesUpAt: 12_000 }, 10_000);
@@ -40,9 +39,9 @@
     expect(returns.firstAt({ asks: 'GET /4999', givesUpAt: 12_000 }, 10_500)).to.equal(10_000);
   });
 
-  // Callers ask for paths of 15,000 characters and are refused, thousands of them. Held by number
-  // alone they would take 60 MB of a process that has 250, which is killed for it.
-  it('holds a bounded number of bytes, the latest callers first', () => {
+  // Guards against refused requests with paths of 15,000 characters: bounded by number only, they
+  // would take 60 MB of a process that has 250, and it would be killed.
+  it('uses a bounded number of bytes, and keeps the latest callers', () => {
     const returns = new Returns();
     const callerOf = (index: number) => ({
       asks: `${index} ${'x'.repeat(15_000)}`,
@@ -52,7 +51,7 @@
     const known = Array.from({ length: 1_000 }, (_, index) => index).filter(
       (index) => returns.firstAt(callerOf(index), 2_000) === 1_000,
     );
-    expect(known.length * 15_000).to.be.at.most(MOST_BYTES);
+    expect(known.length * 15_000).to.be.at.most(MAX_BYTES);
     expect(known.at(-1)).to.equal(999);
   });
 });
--- a/src/test/placement/split_test.ts
+++ b/src/test/placement/split_test.ts
@@ -9,9 +9,9 @@
 }
 
 describe('Split', () => {
-  // An operator gives a new version of a service a tenth of the requests. On a route with few of
-  // them, chance would give it none for a while, and then several in a row.
-  it('is never more than one request off the share of a part (property)', () => {
+  // Guards against random choices: on a route with few requests a part with a tenth of them would get
+  // none for a while, and then several in a row.
+  it('keeps the requests of each part close to its share after any number (property)', () => {
     const weights = fc
       .array(fc.nat(100), { minLength: 1, maxLength: 5 })
       .filter((all) => all.some((weight) => weight > 0));
@@ -34,7 +34,7 @@
     fc.assert(property, { seed: 4, numRuns: 200 });
   });
 
-  it('deals anew when the weights change', () => {
+  it('starts over when the weights change', () => {
     const split = new Split();
     for (let request = 0; request < 7; request++) split.choose(routeOf([90, 10]));
     const later = Array.from({ length: 4 }, () => split.choose(routeOf([0, 1])));
--- a/src/test/placement/weights_test.ts
+++ b/src/test/placement/weights_test.ts
@@ -6,7 +6,7 @@
 import { SeededRandom } from '../../runtime/random.js';
 import { memberOf } from '../requests/path.js';
 
-class StillClock extends Clock {
+class FixedClock extends Clock {
   now(): number {
     return 1_000_000;
   }
@@ -18,11 +18,10 @@
 
 const NONE = new Set<never>();
 
-describe('Weights', () => {
-  // Six slots in the own data centre are taken and one request waits; another data centre is idle.
-  // A lookup of 1.5 kB is answered sooner there. A download of 90 kB would cost as much as sixty
-  // lookups on its way back, and waits a quarter of a second for a slot nearby instead.
-  it('sends what weighs little to another data centre, and keeps downloads near', () => {
+describe('AnswerSizes', () => {
+  // Guards against downloads between data centres when local slots are short: a lookup of 1.5 kB goes,
+  // a download of 90 kB, as much traffic as sixty lookups, waits a quarter of a second.
+  it('sends small answers through another data centre, and keeps downloads local', () => {
     const weights = new Weights();
     for (let answer = 0; answer < 20; answer++) {
       weights.learn('lookup', 1_500);
@@ -32,7 +31,7 @@
     const endpoint = { upstream: 'bookings', state: 'ready' as const, slots: 6 };
     const places = [memberOf('near', 1), memberOf('far', 1, 'tobago')];
     roster.merge(places.map((member) => ({ ...member, endpoint })));
-    const balancer = new Balancer(roster, new StillClock(), new SeededRandom(3));
+    const balancer = new Balancer(roster, new FixedClock(), new SeededRandom(3));
     const near = balancer.choose('bookings', NONE)!;
     expect(near.member.instance).to.equal('near');
     const busy = { inFlight: 6, slots: 6, waiting: 1, heldMs: 100, leavingMs: 0 };
@@ -45,7 +44,7 @@
     });
   });
 
-  it('assumes nothing of a route that has not been answered yet', () => {
+  it('adds no penalty for a route without answers', () => {
     expect(new Weights().awayMs('lookup')).to.equal(0);
   });
 });
