--- a/src/placement/balancer.ts
+++ b/src/placement/balancer.ts
@@ -64,7 +64,7 @@
     const now = this.clock.now();
     const stable = group.local.length + group.remote.length;
     const share = this.roles.trialShare(upstream, stable, now);
-    if (!this.#trialScheduler.isNextDue(route, share.share)) return undefined;
+    if (!this.#trialScheduler.next(route, share.share)) return undefined;
     return chooseOnTrial(group.trial, share, this.random, now);
   }
 
--- a/src/placement/cohorts.ts
+++ b/src/placement/cohorts.ts
@@ -1,4 +1,4 @@
-/** The roles of an upstream's endpoints in a roll-out, by the version that they report. */
+/** The roles of an upstream's endpoints in a rollout, by the version that they report. */
 
 /**
  * - `stable`: takes requests.
--- a/src/placement/trial_group.ts
+++ b/src/placement/trial_group.ts
@@ -13,7 +13,7 @@
   constructor(private readonly random: Random) {}
 
   /** Whether the next request of the route goes to the version on trial. */
-  isNextDue(route: string, share: number): boolean {
+  next(route: string, share: number): boolean {
     if (share <= 0) return false;
     // Starts at a random value: otherwise all entries would send their first request at the same time.
     const owed = (this.#owed.get(route) ?? this.random.next()) + share;
--- a/src/rollout/evidence_book.ts
+++ b/src/rollout/evidence_book.ts
@@ -1,52 +1,56 @@
-/** What all guards have seen of the endpoints of upstreams that are being rolled out. */
+/** Stores the evidence that guards collect on the endpoints of upstreams during a rollout. */
 import { type Evidence, type Rollout, type RouteAnswers } from '../contracts.js';
 import { type Ran } from './observer.js';
 import { orderNameOf } from './orders.js';
 
-/** Lives of a process count separately, and versions of its endpoint: no answer is lost or counted twice. */
-export function keyOf({ instance, incarnation, version, order }: Evidence): string {
+/**
+ * Key of a piece of evidence. Each life of a process, version of its endpoint and order is counted
+ * separately, so that no answer is lost or counted twice.
+ */
+export function evidenceKey({ instance, incarnation, version, order }: Evidence): string {
   return `${instance} ${incarnation} ${version} ${order}`;
 }
 
-function answersOf({ routes }: Evidence): number {
+function answeredIn({ routes }: Evidence): number {
   return routes.reduce((sum, { answered }) => sum + answered, 0);
 }
 
 export class EvidenceBook {
-  readonly #held = new Map<string, Evidence>();
+  readonly #evidence = new Map<string, Evidence>();
 
-  /** Takes over what tells of more answers; whether it does. */
+  /** Stores evidence that counts more answers than the stored one; returns whether it was stored. */
   merge(evidence: Evidence): boolean {
-    const key = keyOf(evidence);
-    const held = this.#held.get(key);
-    if (held && !tellsMore(evidence, held)) return false;
-    this.#held.set(key, evidence);
+    const key = evidenceKey(evidence);
+    const held = this.#evidence.get(key);
+    if (held && !hasMoreAnswers(evidence, held)) return false;
+    this.#evidence.set(key, evidence);
     return true;
   }
 
-  /** All that was counted for an order. */
+  /** All evidence for an order. */
   of(rollout: Rollout): Evidence[] {
     const name = orderNameOf(rollout);
-    return [...this.#held.values()].filter(
+    return [...this.#evidence.values()].filter(
       ({ upstream, order }) => upstream === rollout.upstream && order === name,
     );
   }
 
   all(): Evidence[] {
-    return [...this.#held.values()];
+    return [...this.#evidence.values()];
   }
 
-  /** Drops what was counted for orders that are decided, or replaced. */
+  /** Removes the evidence that is not wanted any more, as its order is decided or replaced. */
   retain(isWanted: (evidence: Evidence) => boolean): void {
-    for (const [key, evidence] of this.#held) if (!isWanted(evidence)) this.#held.delete(key);
+    for (const [key, evidence] of this.#evidence)
+      if (!isWanted(evidence)) this.#evidence.delete(key);
   }
 }
 
-function tellsMore(evidence: Evidence, held: Evidence): boolean {
-  return answersOf(evidence) > answersOf(held);
+function hasMoreAnswers(evidence: Evidence, held: Evidence): boolean {
+  return answeredIn(evidence) > answeredIn(held);
 }
 
-/** Counts the answers of the endpoint beside this process, by route. */
+/** Counts the answers of this process's own endpoint, by route. */
 export class AnswerCounter {
   #routes = new Map<string, RouteAnswers>();
 
--- a/src/rollout/judge.ts
+++ b/src/rollout/judge.ts
@@ -1,47 +1,48 @@
-/** Judges versions on trial by the evidence that has come in, and moves roll-outs on. */
+/** Judges versions on trial by the collected evidence, and advances the phases of rollouts. */
 import { type Rollout } from '../contracts.js';
 import { type Log } from '../logs/log.js';
 import { type Clock } from '../runtime/clock.js';
 import { type EvidenceBook } from './evidence_book.js';
 import { type Finding, Judgement } from './judgement.js';
 import { isSameOrder, isUndecided, type Orders } from './orders.js';
-import { type Spread } from './spread.js';
+import { type RolloutBroadcast } from './spread.js';
 import { mayComplete, nextPhase } from './steps.js';
 
-/** What this process has made of one order. */
+/** State of one order in this process. */
 interface Trial {
   rollout: Rollout;
-  readonly judgement: Judgement;
-  /** Instant at which this process first knew of the order, and of its phase, in milliseconds. */
+  readonly detector: Judgement;
+  /** When this process learned of the order, and of its phase, in milliseconds since the epoch. */
   readonly since: number;
   phaseSince: number;
 }
 
 /**
- * Every process that judges comes to its own verdict, and any of them is enough to withdraw a version:
- * a death or a cut between them delays nothing. Going on too early costs no more than a step's share.
+ * Every judging process decides for itself, and the verdict of any one withdraws a version, so that
+ * neither a crash nor a network partition between them delays it. If one advances the rollout too
+ * early, a bad version gets no more than the share of the next phase.
  */
 export class Judge {
   readonly #trials = new Map<string, Trial>();
 
   constructor(
     private readonly orders: Orders,
-    private readonly book: EvidenceBook,
-    private readonly spread: Spread,
+    private readonly evidence: EvidenceBook,
+    private readonly broadcast: RolloutBroadcast,
     private readonly clock: Clock,
     private readonly log: Log,
   ) {
-    orders.onChanged((rollout) => this.#note(rollout));
+    orders.onChanged((rollout) => this.#recordOrder(rollout));
   }
 
-  /** Looks at what has come in since the last look. */
+  /** Evaluates the evidence that arrived since the last call. */
   look(): void {
     for (const trial of [...this.#trials.values()])
-      if (isUndecided(trial.rollout)) this.#weigh(trial);
+      if (isUndecided(trial.rollout)) this.#evaluate(trial);
   }
 
-  /** Whether the platform has to be told something of the order that it does not say yet. */
-  isDue(rollout: Rollout): boolean {
+  /** Whether the platform does not show the state of the order yet, so that it has to be written. */
+  needsWrite(rollout: Rollout): boolean {
     if (rollout.phase === 'withdrawn') return !rollout.isDeleted;
     if (!isUndecided(rollout)) return false;
     return !rollout.isNoted || mayComplete(rollout, this.#sincePhaseMs(rollout));
@@ -52,25 +53,25 @@
     return trial ? this.clock.now() - trial.phaseSince : 0;
   }
 
-  #note(rollout: Rollout): void {
+  #recordOrder(rollout: Rollout): void {
     const now = this.clock.now();
     const held = this.#trials.get(rollout.upstream);
     if (held && isSameOrder(held.rollout, rollout)) {
       held.phaseSince = now;
       held.rollout = rollout;
     } else {
-      const judgement = new Judgement(rollout.version);
-      const trial = { rollout, judgement, since: now, phaseSince: now };
+      const detector = new Judgement(rollout.version);
+      const trial = { rollout, detector, since: now, phaseSince: now };
       this.#trials.set(rollout.upstream, trial);
     }
     const { upstream, version, phase, durationMs } = rollout;
     this.log.record('info', { event: 'rollout-changed', upstream, version, phase, durationMs });
   }
 
-  #weigh({ rollout, judgement, since, phaseSince }: Trial): void {
+  #evaluate({ rollout, detector, since, phaseSince }: Trial): void {
     const now = this.clock.now();
-    const finding = judgement.look(this.book.of(rollout), now);
-    const { coverage } = judgement;
+    const finding = detector.look(this.evidence.of(rollout), now);
+    const { coverage } = detector;
     const progress = {
       sinceOrderMs: now - since,
       sincePhaseMs: now - phaseSince,
@@ -79,11 +80,11 @@
     };
     const phase = nextPhase(rollout, progress);
     if (phase === undefined) return;
-    this.#explain(rollout, phase, finding);
-    this.spread.order([{ ...rollout, phase }]);
+    this.#logDecision(rollout, phase, finding);
+    this.broadcast.addOrders([{ ...rollout, phase }]);
   }
 
-  #explain({ upstream, version }: Rollout, phase: Rollout['phase'], finding: Finding): void {
+  #logDecision({ upstream, version }: Rollout, phase: Rollout['phase'], finding: Finding): void {
     const { reason, answered, failed, suspicion } = finding;
     const figures = { answered, failed, suspicion: Math.round(suspicion * 100) / 100 };
     this.log.record('info', {
--- a/src/rollout/observer.ts
+++ b/src/rollout/observer.ts
@@ -1,16 +1,16 @@
-/** What a guard tells of the work that it has given to its endpoint. */
+/** Interface through which a guard reports how its endpoint answers. */
 
-/** How work that an endpoint was given ended there. */
+/** How a request ended at an endpoint. */
 export interface Ran {
   readonly isFailure: boolean;
-  /** Time until its answer began, in milliseconds; undefined if it says nothing of the version. */
+  /** Time until the answer began, in milliseconds; undefined if it must not be used to judge the version. */
   readonly tookMs: number | undefined;
 }
 
 export abstract class Observer {
-  /** Whether the version of the endpoint must get nothing any more. */
+  /** Whether the version of the endpoint must not get any requests. */
   abstract get isShut(): boolean;
 
-  /** Runs work at the endpoint, and notes how it ends. */
+  /** Runs `work` at the endpoint, and records how it ends. */
   abstract observe<T extends Ran>(route: string, work: () => Promise<T>): Promise<T>;
 }
--- a/src/rollout/order_reader.ts
+++ b/src/rollout/order_reader.ts
@@ -1,4 +1,4 @@
-/** Reads orders, in those processes that rank as readers, and writes what became of them. */
+/** Reads orders from the platform and writes their outcomes, in processes that rank as readers. */
 import { OutcomeError, type Rollout, type RolloutPhase } from '../contracts.js';
 import { type Log } from '../logs/log.js';
 import { type Ranking } from '../membership/ranking.js';
@@ -7,43 +7,46 @@
 import { type Judge } from './judge.js';
 import { type Orders } from './orders.js';
 import { type OrderSource } from './order_source.js';
-import { type Newcomer } from './plan.js';
-import { type Spread } from './spread.js';
+import { type UpstreamVersion } from './plan.js';
+import { type RolloutBroadcast } from './spread.js';
 
-/** How long one watch waits, in milliseconds; several processes hold one, so a silent one costs little. */
+/** Timeout of one watch, in milliseconds; several processes hold one, so a broken one does little harm. */
 const WATCH_MS = 20_000;
 const CALL_MS = 1_000;
-/** Cap of the jittered wait after a failed call, in milliseconds; it doubles with each further one. */
+/** Cap of the jittered wait after a failed call, in milliseconds; it doubles with each further failure. */
 const RETRY_CAP_MS = 500;
 const MAX_RETRY_CAP_MS = 4_000;
-/** A herd that starts gets acquainted first: else each process would list the orders. In milliseconds. */
-const ACQUAINT_MS = 500;
-/** A process that nobody has told of the orders by then lists them itself, in milliseconds. */
-const UNTOLD_MS = 3_000;
-/** How often a reader looks whether anything is to be written while a roll-out is not over, in milliseconds. */
-const LOOK_EVERY_MS = 250;
-/** The same otherwise, and how often a process looks whether it has become a reader. */
-const IDLE_MS = 1_000;
-/** How much longer each next reader waits for the one before it to write, in milliseconds. */
-const TURN_MS = 500;
+/**
+ * Time after the start in which processes learn of each other, in milliseconds. When many start at
+ * once, each would otherwise rank itself as a reader and list the orders.
+ */
+const READ_DELAY_MS = 500;
+/** Time after which a process that got no orders from its peers lists them itself, in milliseconds. */
+const LIST_AFTER_MS = 3_000;
+/** Interval of checks for something to write while a rollout is not over, in milliseconds. */
+const POLL_MS = 250;
+/** The same interval otherwise, and that of checks whether this process has become a reader. */
+const IDLE_POLL_MS = 1_000;
+/** Additional delay before the write of each further reader by rank, in milliseconds. */
+const READER_DELAY_MS = 500;
 
-const FINAL: ReadonlySet<RolloutPhase> = new Set(['rolled-back', 'completed']);
+const FINAL_PHASES: ReadonlySet<RolloutPhase> = new Set(['rolled-back', 'completed']);
 
-/** What a reader knows of versions that no order is known for. */
-interface Acquaintance {
-  readonly newcomers: readonly Newcomer[];
+/** Provides the versions that no order is known for. */
+interface KnownVersions {
+  readonly unclearedVersions: readonly UpstreamVersion[];
 }
 
 export class OrderReader {
-  /** When a word that is due was first seen to be, by upstream. */
+  /** Instant since which an outcome has to be written, by upstream. */
   readonly #dueSince = new Map<string, number>();
 
   constructor(
     private readonly source: OrderSource,
     private readonly orders: Orders,
-    private readonly spread: Spread,
+    private readonly broadcast: RolloutBroadcast,
     private readonly judge: Judge,
-    private readonly acquaintance: Acquaintance,
+    private readonly knownVersions: KnownVersions,
     private readonly ranking: Ranking,
     private readonly clock: Clock,
     private readonly random: Random,
@@ -57,28 +60,28 @@
     await Promise.all([reading, this.#write(signal)]);
   }
 
-  /** Readers read; the others hear of orders from them. */
+  /** Only readers read from the platform; the others get orders from their peers. */
   async #read(startedAt: number, signal: AbortSignal): Promise<void> {
     const { clock, orders, source } = this;
     const now = clock.now();
-    const isUntold = !orders.isComplete && now >= startedAt + UNTOLD_MS;
-    const isReader = this.ranking.isReader && now >= startedAt + ACQUAINT_MS;
+    const mustList = !orders.isComplete && now >= startedAt + LIST_AFTER_MS;
+    const isReader = this.ranking.isReader && now >= startedAt + READ_DELAY_MS;
     if (orders.isComplete && isReader) {
-      this.#take(await source.follow(now + WATCH_MS, signal));
-    } else if (isReader || isUntold) {
-      this.#take(await source.list(now + CALL_MS));
+      this.#merge(await source.follow(now + WATCH_MS, signal));
+    } else if (isReader || mustList) {
+      this.#merge(await source.list(now + CALL_MS));
     } else {
-      await clock.sleepUntil(now + (orders.isComplete ? IDLE_MS : LOOK_EVERY_MS), signal);
+      await clock.sleepUntil(now + (orders.isComplete ? IDLE_POLL_MS : POLL_MS), signal);
     }
   }
 
   async #write(signal: AbortSignal): Promise<void> {
     await this.#repeat(signal, async () => {
-      const isOver = this.orders.all().every(({ phase }) => FINAL.has(phase));
-      await this.clock.sleepUntil(this.clock.now() + (isOver ? IDLE_MS : LOOK_EVERY_MS), signal);
+      const isOver = this.orders.all().every(({ phase }) => FINAL_PHASES.has(phase));
+      await this.clock.sleepUntil(this.clock.now() + (isOver ? IDLE_POLL_MS : POLL_MS), signal);
       if (!this.ranking.isReader || signal.aborted) return;
-      await this.#clearNewcomers();
-      for (const rollout of this.orders.all()) await this.#concludeInTurn(rollout);
+      await this.#clearVersions();
+      for (const rollout of this.orders.all()) await this.#writeInTurn(rollout);
     });
   }
 
@@ -89,7 +92,7 @@
         await step();
         capMs = RETRY_CAP_MS;
       } catch (error) {
-        // Failed calls have lines of their own; an answer that is none must not end the process.
+        // Failed calls are logged elsewhere. An unreadable answer must not end the process.
         if (!(error instanceof OutcomeError)) {
           this.log.record('warn', { event: 'orders-unread', message: String(error) });
         }
@@ -99,39 +102,39 @@
     }
   }
 
-  #take({ rollouts }: { readonly rollouts: readonly Rollout[] }): void {
-    this.spread.order(rollouts);
-    this.spread.complete();
+  #merge({ rollouts }: { readonly rollouts: readonly Rollout[] }): void {
+    this.broadcast.addOrders(rollouts);
+    this.broadcast.markComplete();
   }
 
-  /** An order that was written before the newcomers were met is in the listing. */
-  async #clearNewcomers(): Promise<void> {
-    const { newcomers } = this.acquaintance;
-    if (newcomers.length === 0) return;
+  /** Clears versions without an order. The list has every order that precedes their endpoints. */
+  async #clearVersions(): Promise<void> {
+    const { unclearedVersions } = this.knownVersions;
+    if (unclearedVersions.length === 0) return;
     const ordered = await this.source.list(this.clock.now() + CALL_MS);
-    this.#take(ordered);
-    const isOrdered = ({ upstream, version }: Newcomer) =>
+    this.#merge(ordered);
+    const isOrdered = ({ upstream, version }: UpstreamVersion) =>
       this.orders.of(upstream)?.version === version;
     const { revision } = ordered;
-    const cleared = newcomers.filter((newcomer) => !isOrdered(newcomer));
-    this.spread.clear(cleared.map((newcomer) => ({ ...newcomer, revision })));
+    const cleared = unclearedVersions.filter((candidate) => !isOrdered(candidate));
+    this.broadcast.addClearances(cleared.map((candidate) => ({ ...candidate, revision })));
   }
 
-  /** Readers take turns, so that mostly one of them writes; the write itself is conditional. */
-  async #concludeInTurn(rollout: Rollout): Promise<void> {
+  /** Readers wait according to their rank, so that usually one of them writes; the write is conditional. */
+  async #writeInTurn(rollout: Rollout): Promise<void> {
     const { upstream } = rollout;
     const now = this.clock.now();
-    if (!this.judge.isDue(rollout)) {
+    if (!this.judge.needsWrite(rollout)) {
       this.#dueSince.delete(upstream);
       return;
     }
     const since = this.#dueSince.get(upstream) ?? now;
     this.#dueSince.set(upstream, since);
-    if (now - since < this.ranking.readerPlace * TURN_MS) return;
+    if (now - since < this.ranking.readerPlace * READER_DELAY_MS) return;
     const isWritten = await this.source.conclude(rollout, now + CALL_MS);
-    // Whoever was before, or else the lost answer of an earlier try, is read now.
-    if (!isWritten) this.#take(await this.source.list(this.clock.now() + CALL_MS));
-    else this.spread.order([{ ...rollout, phase: finalOf(rollout), isNoted: true }]);
+    // Reads what another reader wrote, or an earlier write of this process whose answer was lost.
+    if (!isWritten) this.#merge(await this.source.list(this.clock.now() + CALL_MS));
+    else this.broadcast.addOrders([{ ...rollout, phase: finalOf(rollout), isNoted: true }]);
   }
 }
 
--- a/src/rollout/orders.ts
+++ b/src/rollout/orders.ts
@@ -1,7 +1,7 @@
-/** The orders that a process knows, merged alike everywhere whatever the order of the news. */
+/** The orders that a process knows; merging gives the same result regardless of the message order. */
 import { type VersionClearance, type Rollout, type RolloutPhase } from '../contracts.js';
 
-const RANK: Readonly<Record<RolloutPhase, number>> = {
+const PHASE_RANK: Readonly<Record<RolloutPhase, number>> = {
   trial: 0,
   proof: 1,
   promoting: 2,
@@ -10,17 +10,17 @@
   completed: 5,
 };
 
-/** Versions that nobody ordered that are remembered; one that is forgotten is looked up again. */
+/** Maximum number of remembered versions without an order; an evicted one is looked up again. */
 const MAX_CLEARANCES = 1_000;
 
 type Listener = (rollout: Rollout) => void;
 
-/** Whether requests are still being shared between the two versions. */
+/** Whether the rollout is in progress: neither withdrawn, rolled back nor completed. */
 export function isUndecided({ phase }: Rollout): boolean {
-  return RANK[phase] < RANK.withdrawn;
+  return PHASE_RANK[phase] < PHASE_RANK.withdrawn;
 }
 
-/** Whether the version that was ordered must get nothing any more. */
+/** Whether the ordered version must not get any requests. */
 export function isRefused({ phase }: Rollout): boolean {
   return phase === 'withdrawn' || phase === 'rolled-back';
 }
@@ -29,17 +29,17 @@
   return one.orderedAt === other.orderedAt && one.version === other.version;
 }
 
-/** Names an order among all of its upstream: one object may be written over for another version. */
+/** Identifies an order of its upstream: one platform object may be overwritten for another version. */
 export function orderNameOf({ version, orderedAt }: Rollout): string {
   return `${version}@${orderedAt}`;
 }
 
 /**
- * Holds the newest order for each upstream. Of one order the furthest phase holds, so that a process
- * that missed a verdict cannot take it back; a newer order replaces an older one whatever became of it.
+ * Holds the newest order of each upstream. Within one order the highest-ranked phase wins, so that a
+ * process that missed a verdict cannot revert it; a newer order replaces an older one in any phase.
  */
 export class Orders {
-  /** Whether all orders are known: they were listed by the platform, or told by one who had. */
+  /** Whether all orders are known, from the platform or from a peer that knew all. */
   isComplete = false;
 
   #generation = 0;
@@ -50,7 +50,7 @@
 
   readonly #listeners = new Set<Listener>();
 
-  /** Rises with every change. */
+  /** Increases with every change. */
   get generation(): number {
     return this.#generation;
   }
@@ -67,20 +67,20 @@
     return [...this.#clearances.values()];
   }
 
-  /** Revision at which it was known that no order asks for the version; undefined if it is not. */
+  /** Revision at which the version was found to have no order; undefined if that is not known. */
   clearedAt(upstream: string, version: string): number | undefined {
-    return this.#clearances.get(keyOf(upstream, version))?.revision;
+    return this.#clearances.get(clearanceKey(upstream, version))?.revision;
   }
 
-  /** Calls `listener` with each order that is new or has come further. */
+  /** Calls `listener` with each order that is new or has changed its phase. */
   onChanged(listener: Listener): void {
     this.#listeners.add(listener);
   }
 
-  /** Takes over what is newer; whether it was. */
+  /** Merges a statement on an order; returns whether anything changed. */
   merge(statement: Rollout): boolean {
     const held = this.#rollouts.get(statement.upstream);
-    const merged = held ? newest(held, statement) : statement;
+    const merged = held ? mergeOrders(held, statement) : statement;
     if (merged === held) return false;
     this.#rollouts.set(statement.upstream, merged);
     this.#generation += 1;
@@ -90,7 +90,7 @@
   }
 
   clear(clearance: VersionClearance): boolean {
-    const key = keyOf(clearance.upstream, clearance.version);
+    const key = clearanceKey(clearance.upstream, clearance.version);
     const held = this.#clearances.get(key);
     if (held && held.revision >= clearance.revision) return false;
     this.#clearances.delete(key);
@@ -101,7 +101,7 @@
     return true;
   }
 
-  /** Notes that all orders are known now. */
+  /** Records that all orders are known now. */
   complete(): void {
     if (this.isComplete) return;
     this.isComplete = true;
@@ -109,9 +109,9 @@
   }
 }
 
-function newest(held: Rollout, statement: Rollout): Rollout {
+function mergeOrders(held: Rollout, statement: Rollout): Rollout {
   if (!isSameOrder(held, statement)) return isLater(statement, held) ? statement : held;
-  const isFurther = RANK[statement.phase] > RANK[held.phase];
+  const isFurther = PHASE_RANK[statement.phase] > PHASE_RANK[held.phase];
   const merged = {
     ...held,
     phase: isFurther ? statement.phase : held.phase,
@@ -119,20 +119,20 @@
     isNoted: held.isNoted || statement.isNoted,
     isDeleted: held.isDeleted || statement.isDeleted,
   };
-  const isNews =
+  const hasChanged =
     isFurther ||
     merged.revision !== held.revision ||
     merged.isNoted !== held.isNoted ||
     merged.isDeleted !== held.isDeleted;
-  return isNews ? merged : held;
+  return hasChanged ? merged : held;
 }
 
-/** An object that is written over keeps the revision of its creation; then the later sight counts. */
+/** An overwritten object keeps the revision of its creation; then the higher revision is later. */
 function isLater(one: Rollout, other: Rollout): boolean {
   if (one.orderedAt !== other.orderedAt) return one.orderedAt > other.orderedAt;
   return one.revision > other.revision;
 }
 
-function keyOf(upstream: string, version: string): string {
+function clearanceKey(upstream: string, version: string): string {
   return `${upstream} ${version}`;
 }
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -1,4 +1,4 @@
-/** Roll-outs as one process has them: put together and handed to its parts. */
+/** The rollouts of one process: creates and connects their parts. */
 import { type Member, OutcomeError, type Rollout } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { type Methods } from '../link/peer.js';
@@ -13,11 +13,11 @@
 import { isRefused, isUndecided, orderNameOf, Orders } from './orders.js';
 import { type OrderSource } from './order_source.js';
 import { Observer, type Ran } from './observer.js';
-import { Plan } from './plan.js';
-import { Spread } from './spread.js';
+import { RolloutRoles } from './plan.js';
+import { RolloutBroadcast } from './spread.js';
 
-/** The parts of the process that roll-outs stand on. */
-export interface RolloutGrounds {
+/** The parts of the process that rollouts use. */
+export interface RolloutDependencies {
   readonly roster: Roster;
   readonly ranking: Ranking;
   readonly mesh: Mesh;
@@ -26,49 +26,50 @@
   readonly random: Random;
   readonly log: Log;
   readonly source: OrderSource;
-  /** Share of its upstream's requests that a bad version may get. */
+  /** Share of an upstream's requests that a bad version may get, 0 to 1. */
   readonly allowedShare: number;
 }
 
-/** How often evidence is sent and looked at, in milliseconds. */
-const LOOK_EVERY_MS = 250;
-/** Old endpoints are many and their answers only a measure: they send every so many looks. */
-const OLD_EVERY = 4;
-/** How often it is looked whether this process has become a judge, in milliseconds. */
+/** Interval at which evidence is sent and evaluated, in milliseconds. */
+const EVALUATE_MS = 250;
+/** Endpoints of the old version are many and serve only for comparison: they send every nth time. */
+const OLD_VERSION_EVERY = 4;
+/** Interval at which a process checks whether it has to judge, in milliseconds. */
 const IDLE_MS = 2_000;
 
 export class Rollouts extends Observer {
   readonly orders = new Orders();
 
-  readonly plan: Plan;
+  readonly plan: RolloutRoles;
 
-  readonly #book = new EvidenceBook();
+  readonly #evidence = new EvidenceBook();
 
   readonly #counter = new AnswerCounter();
 
-  /** The order for which it counts. */
-  #countedFor: string | undefined;
+  /** The order for which answers are counted. */
+  #countedOrder: string | undefined;
 
-  readonly #spread: Spread;
+  readonly #broadcast: RolloutBroadcast;
 
   readonly #judge: Judge;
 
   readonly #reader: OrderReader;
 
-  /** Wakes the task when there may be something to judge. */
+  /** Aborted to wake the evaluation when an order has changed. */
   #wake = new AbortController();
 
-  constructor(private readonly grounds: RolloutGrounds) {
+  constructor(private readonly dependencies: RolloutDependencies) {
     super();
-    const { mesh, methods, roster, ranking, clock, random, log, source, allowedShare } = grounds;
+    const { mesh, methods, roster, ranking, clock, random, log, source, allowedShare } =
+      dependencies;
     const { orders } = this;
-    this.plan = new Plan(orders, roster, clock, allowedShare);
-    this.#spread = new Spread(mesh, orders, this.#book, clock, random, methods);
-    this.#judge = new Judge(orders, this.#book, this.#spread, clock, log);
+    this.plan = new RolloutRoles(orders, roster, clock, allowedShare);
+    this.#broadcast = new RolloutBroadcast(mesh, orders, this.#evidence, clock, random, methods);
+    this.#judge = new Judge(orders, this.#evidence, this.#broadcast, clock, log);
     this.#reader = new OrderReader(
       source,
       orders,
-      this.#spread,
+      this.#broadcast,
       this.#judge,
       this.plan,
       ranking,
@@ -76,17 +77,17 @@
       random,
       log,
     );
-    orders.onChanged((rollout) => this.#changed(rollout));
+    orders.onChanged((rollout) => this.#onOrderChanged(rollout));
   }
 
   get isShut(): boolean {
-    const { endpoint } = this.grounds.roster.self;
+    const { endpoint } = this.dependencies.roster.self;
     if (!endpoint) return false;
     const order = this.orders.of(endpoint.upstream);
     return order !== undefined && order.version === endpoint.version && isRefused(order);
   }
 
-  /** Counts only while that matters. */
+  /** Counts answers only during a rollout of the own upstream. */
   async observe<T extends Ran>(route: string, work: () => Promise<T>): Promise<T> {
     if (!this.#ownOrder) return work();
     try {
@@ -100,15 +101,15 @@
   }
 
   async run(signal: AbortSignal): Promise<void> {
-    await Promise.all([this.#reader.run(signal), this.#lookOn(signal)]);
+    await Promise.all([this.#reader.run(signal), this.#evaluateRegularly(signal)]);
   }
 
-  /** Sleeps for as long as nothing is being rolled out. */
-  async #lookOn(signal: AbortSignal): Promise<void> {
-    const { clock } = this.grounds;
+  /** Evaluates rollouts, in long intervals while there is nothing to count or judge. */
+  async #evaluateRegularly(signal: AbortSignal): Promise<void> {
+    const { clock } = this.dependencies;
     for (let look = 0; !signal.aborted; look++) {
-      const isBusy = this.#ownOrder !== undefined || (this.#isJudge && this.#isUnderWay);
-      const wakeAt = clock.now() + (isBusy ? LOOK_EVERY_MS : IDLE_MS);
+      const isBusy = this.#ownOrder !== undefined || (this.#isJudge && this.#hasUndecided);
+      const wakeAt = clock.now() + (isBusy ? EVALUATE_MS : IDLE_MS);
       await clock.sleepUntil(wakeAt, AbortSignal.any([signal, this.#wake.signal]));
       if (this.#wake.signal.aborted) this.#wake = new AbortController();
       this.#publish(look);
@@ -116,21 +117,21 @@
     }
   }
 
-  /** Those who know the version's endpoints best judge too: readers may all be away. */
+  /** Guards of the ordered version's endpoints judge too, as all readers may be unreachable. */
   get #isJudge(): boolean {
-    const { ranking, roster } = this.grounds;
+    const { ranking, roster } = this.dependencies;
     if (ranking.isReader) return true;
     const order = this.#ownOrder;
     return order !== undefined && order.version === roster.self.endpoint?.version;
   }
 
-  get #isUnderWay(): boolean {
+  get #hasUndecided(): boolean {
     return this.orders.all().some(isUndecided);
   }
 
-  /** The order under way for the upstream that the endpoint beside this process serves. */
+  /** The undecided order for the upstream of this process's own endpoint. */
   get #ownOrder(): Rollout | undefined {
-    const { endpoint } = this.grounds.roster.self;
+    const { endpoint } = this.dependencies.roster.self;
     if (endpoint?.version === undefined) return undefined;
     const order = this.orders.of(endpoint.upstream);
     return order && isUndecided(order) ? order : undefined;
@@ -138,22 +139,22 @@
 
   #publish(look: number): void {
     const order = this.#ownOrder;
-    const { instance, incarnation, endpoint }: Member = this.grounds.roster.self;
+    const { instance, incarnation, endpoint }: Member = this.dependencies.roster.self;
     if (!order || endpoint?.version === undefined) return;
     const { upstream, version } = endpoint;
-    if (version !== order.version && look % OLD_EVERY !== 0) return;
+    if (version !== order.version && look % OLD_VERSION_EVERY !== 0) return;
     const { routes } = this.#counter;
     const name = orderNameOf(order);
-    this.#spread.add({ instance, incarnation, upstream, version, order: name, routes });
+    this.#broadcast.addEvidence({ instance, incarnation, upstream, version, order: name, routes });
   }
 
-  #changed(rollout: Rollout): void {
-    const { endpoint } = this.grounds.roster.self;
-    if (endpoint?.upstream === rollout.upstream && orderNameOf(rollout) !== this.#countedFor) {
-      this.#countedFor = orderNameOf(rollout);
+  #onOrderChanged(rollout: Rollout): void {
+    const { endpoint } = this.dependencies.roster.self;
+    if (endpoint?.upstream === rollout.upstream && orderNameOf(rollout) !== this.#countedOrder) {
+      this.#countedOrder = orderNameOf(rollout);
       this.#counter.reset();
     }
-    this.#book.retain(({ upstream, order: name }) => {
+    this.#evidence.retain(({ upstream, order: name }) => {
       const order = this.orders.of(upstream);
       return order !== undefined && orderNameOf(order) === name && isUndecided(order);
     });
@@ -161,7 +162,7 @@
   }
 }
 
-/** What was not run, or not waited for, says nothing of a version. */
+/** Requests that were not run, or were cancelled by the caller, do not count against a version. */
 function isFailure(error: unknown): boolean {
   if (!(error instanceof OutcomeError)) return true;
   return error.verdict !== 'not-run' && error.reason !== 'cancelled';
--- a/src/test/rollout/order.ts
+++ b/src/test/rollout/order.ts
@@ -1,7 +1,7 @@
 /** Orders for tests. */
 import { type Rollout } from '../../contracts.js';
 
-/** An order that differs from a plain one by `changes`. */
+/** An order with defaults, overridden by `changes`. */
 export function orderOf(changes: Partial<Rollout> = {}): Rollout {
   return {
     upstream: 'listings',
--- a/src/test/rollout/order_reader_test.ts
+++ b/src/test/rollout/order_reader_test.ts
@@ -7,7 +7,7 @@
 import { OrderReader } from '../../rollout/order_reader.js';
 import { type Ordered, OrderSource } from '../../rollout/order_source.js';
 import { Orders } from '../../rollout/orders.js';
-import { Spread } from '../../rollout/spread.js';
+import { RolloutBroadcast } from '../../rollout/spread.js';
 import { Methods } from '../../link/peer.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { FakeTime } from '../fake_time.js';
@@ -17,8 +17,8 @@
 
 const FANOUT = 8;
 
-/** Answers its first calls with what nobody can read. */
-class Garbled extends OrderSource {
+/** Fails its first calls with an answer that can't be parsed. */
+class UnreadableSource extends OrderSource {
   calls = 0;
 
   constructor(private readonly unreadable: number) {
@@ -43,8 +43,8 @@
 }
 
 describe('OrderReader', () => {
-  // Guards against a process ending because the platform answered with something else than orders.
-  it('says that it cannot read what the platform answers, and goes on', async () => {
+  // Guards against a process that ends because the platform answered with something else than orders.
+  it('logs an unreadable answer of the platform, and continues', async () => {
     using time = new FakeTime();
     const { clock } = time;
     const random = new SeededRandom(3);
@@ -52,17 +52,17 @@
     const orders = new Orders();
     const book = new EvidenceBook();
     const mesh = { peers: [], onOpen: () => {} };
-    const spread = new Spread(mesh, orders, book, clock, random, new Methods());
-    const judge = new Judge(orders, book, spread, clock, log);
+    const broadcast = new RolloutBroadcast(mesh, orders, book, clock, random, new Methods());
+    const judge = new Judge(orders, book, broadcast, clock, log);
     const ranking = new Ranking(new Roster(memberOf('self')), FANOUT);
-    const source = new Garbled(3);
-    const acquaintance = { newcomers: [] };
+    const source = new UnreadableSource(3);
+    const knownVersions = { unclearedVersions: [] };
     const reader = new OrderReader(
       source,
       orders,
-      spread,
+      broadcast,
       judge,
-      acquaintance,
+      knownVersions,
       ranking,
       clock,
       random,
--- a/src/test/rollout/orders_test.ts
+++ b/src/test/rollout/orders_test.ts
@@ -15,7 +15,7 @@
   isDeleted: fc.boolean(),
 });
 
-/** An object that is written over for another version does so at a revision above all of the former. */
+/** An object is overwritten for another version at a revision above all those of the former version. */
 function isPossible(statements: readonly Rollout[]): boolean {
   return [5, 6].every((orderedAt) => {
     const of = (version: string) =>
@@ -33,7 +33,7 @@
 }
 
 describe('Orders', () => {
-  it('come to the same whatever the order and the repetition of the news', () => {
+  it('merge to the same state regardless of the order and repetition of messages', () => {
     const histories = fc
       .array(statement, { minLength: 1, maxLength: 8 })
       .map((changes) => changes.map(orderOf))
@@ -52,8 +52,8 @@
     );
   });
 
-  // Guards against a process that missed a verdict, or hears of it late, taking it back.
-  it('never take a verdict back', () => {
+  // Guards against a verdict that is reverted by a process that missed it or gets it late.
+  it('never revert a verdict', () => {
     const orders = new Orders();
     orders.merge(orderOf({ phase: 'withdrawn' }));
     for (const phase of ['trial', 'proof', 'promoting'] as const) {
@@ -62,8 +62,8 @@
     }
   });
 
-  // Guards against the verdict on one order falling on the next one for the same upstream.
-  it('begin anew with a newer order, and ignore what is said of an older one', () => {
+  // Guards against the verdict on an order being applied to the next one of the same upstream.
+  it('start over with a newer order, and ignore statements on an older one', () => {
     const orders = new Orders();
     orders.merge(orderOf({ phase: 'rolled-back', revision: 9 }));
     orders.merge(orderOf({ version: 'v3', revision: 11 }));
@@ -73,8 +73,8 @@
     expect(orders.of('listings')).to.include({ version: 'v2', phase: 'trial' });
   });
 
-  // Guards against versions of the past piling up in every process, and in what it tells the next.
-  it('keep a bounded number of versions that nobody ordered', () => {
+  // Guards against old versions accumulating in every process, and in its messages to new ones.
+  it('keep a bounded number of versions without an order', () => {
     const orders = new Orders();
     for (let revision = 1; revision <= 5_000; revision++) {
       orders.clear({ upstream: 'listings', version: `v${revision}`, revision });
--- a/src/test/rollout/plan_test.ts
+++ b/src/test/rollout/plan_test.ts
@@ -2,7 +2,7 @@
 import { type RolloutPhase } from '../../contracts.js';
 import { Roster } from '../../membership/roster.js';
 import { Orders } from '../../rollout/orders.js';
-import { Plan } from '../../rollout/plan.js';
+import { RolloutRoles } from '../../rollout/plan.js';
 import { type Role } from '../../placement/cohorts.js';
 import { FakeTime } from '../fake_time.js';
 import { memberOf } from '../membership/member.js';
@@ -10,21 +10,21 @@
 
 const LATER_MS = 3_000;
 
-class World implements Disposable {
+class Fixture implements Disposable {
   readonly time = new FakeTime();
 
   readonly roster = new Roster(memberOf('self'));
 
   readonly orders = new Orders();
 
-  readonly plan = new Plan(this.orders, this.roster, this.time.clock, 0.1);
+  readonly rolloutRoles = new RolloutRoles(this.orders, this.roster, this.time.clock, 0.1);
 
   constructor() {
     this.orders.complete();
   }
 
-  /** Endpoints of versions appear. */
-  meet(...versions: string[]): void {
+  /** Adds an endpoint of each version to the roster. */
+  addEndpoints(...versions: string[]): void {
     const members = versions.map((version) =>
       memberOf(`beside-${version}`, {
         endpoint: { upstream: 'listings', state: 'ready', slots: 6, version },
@@ -34,7 +34,7 @@
   }
 
   roles(): Record<string, Role> {
-    const roleOf = (version: string | undefined) => this.plan.roleOf('listings', version);
+    const roleOf = (version: string | undefined) => this.rolloutRoles.roleOf('listings', version);
     return { v1: roleOf('v1'), v2: roleOf('v2'), unknown: roleOf(undefined) };
   }
 
@@ -43,12 +43,12 @@
   }
 }
 
-describe('Plan', () => {
-  it('gives both versions their roles in each phase', () => {
+describe('RolloutRoles', () => {
+  it('assigns the roles of both versions in each phase', () => {
     const phases: RolloutPhase[] = ['trial', 'proof', 'promoting', 'withdrawn', 'rolled-back'];
     const rolesIn = (phase: RolloutPhase) => {
-      using world = new World();
-      world.meet('v1', 'v2');
+      using world = new Fixture();
+      world.addEndpoints('v1', 'v2');
       world.orders.merge(orderOf({ phase }));
       return world.roles();
     };
@@ -56,25 +56,30 @@
     expect(Object.fromEntries(roles)).toMatchSnapshot();
   });
 
-  // Guards against the endpoints of an order that no reader has seen yet getting their full share.
-  it('holds back a version that appears later, until it is known that nobody ordered it', async () => {
-    using world = new World();
-    world.meet('v1');
+  // Guards against endpoints getting their full share before their order has been read.
+  it('holds a later version back until its order is known or found to be missing', async () => {
+    using world = new Fixture();
+    world.addEndpoints('v1');
     await world.time.advance(LATER_MS);
-    world.meet('v2');
+    world.addEndpoints('v2');
     const before = world.roles().v2;
-    const { newcomers } = world.plan;
+    const { unclearedVersions } = world.rolloutRoles;
     world.orders.clear({ upstream: 'listings', version: 'v2', revision: 7 });
     const cleared = world.roles().v2;
     world.orders.merge(orderOf({ orderedAt: 9, revision: 9 }));
-    expect({ before, newcomers, cleared, ordered: world.roles().v2 }).toMatchSnapshot();
+    expect({
+      before,
+      newcomers: unclearedVersions,
+      cleared,
+      ordered: world.roles().v2,
+    }).toMatchSnapshot();
   });
 
-  // Guards against a fleet that restarts in the middle of a roll-out giving the new version its full share.
-  it('takes the version with the lower number for the old one until orders are known', () => {
+  // Guards against the new version getting its full share when the fleet restarts during a rollout.
+  it('takes the lower version for the old one until the orders are known', () => {
     using time = new FakeTime();
     const roster = new Roster(memberOf('self'));
-    const plan = new Plan(new Orders(), roster, time.clock, 0.1);
+    const rolloutRoles = new RolloutRoles(new Orders(), roster, time.clock, 0.1);
     const versions = ['v9', 'v10'];
     roster.merge(
       versions.map((version) =>
@@ -83,7 +88,7 @@
         }),
       ),
     );
-    const roles = versions.map((version) => plan.roleOf('listings', version));
+    const roles = versions.map((version) => rolloutRoles.roleOf('listings', version));
     expect(roles).to.deep.equal(['stable', 'held']);
   });
 });
--- a/src/test/rollout/rollout_fleet.ts
+++ b/src/test/rollout/rollout_fleet.ts
@@ -1,4 +1,4 @@
-/** Processes that roll out a version under load, in this process and on fake timers. */
+/** Simulates processes that roll out a version under load, in this process and on fake timers. */
 import { type Clock } from '../../runtime/clock.js';
 import { SilentLog } from '../../logs/log.js';
 import { Balancer } from '../../placement/balancer.js';
@@ -14,20 +14,20 @@
 const SLOTS = 6;
 const ALLOWED_SHARE = 0.1;
 const ALLOWED_SLACK = 50;
-/** Bad answers after which a version gets nothing, and how long that may take, in milliseconds. */
+/** Number of bad answers after which a version must be withdrawn, and the time for it, in milliseconds. */
 const BAD_ANSWERS = 50;
 const ROLL_BACK_MS = 5_000;
 const STEP_MS = 20;
-const REQUESTS_A_STEP = 5;
+const REQUESTS_PER_STEP = 5;
 const WORK_MS = 130;
 const CALL_MS = 1_000;
 const SEED = 31;
 
-/** How a version answers a request that begins at an instant. */
-export type Conduct = (now: number) => { readonly failing: number; readonly slower: number };
+/** How a version answers requests at an instant: the share that fails, and the factor on their duration. */
+export type Behaviour = (now: number) => { readonly failing: number; readonly slower: number };
 
-export const SOUND: Conduct = () => ({ failing: 0.005, slower: 1 });
-export const FAILING: Conduct = () => ({ failing: 0.5, slower: 1 });
+export const SOUND: Behaviour = () => ({ failing: 0.005, slower: 1 });
+export const FAILING: Behaviour = () => ({ failing: 0.5, slower: 1 });
 
 interface Process {
   readonly rollouts: Rollouts;
@@ -35,15 +35,15 @@
   readonly stopping: AbortController;
 }
 
-/** A request as it was given to an endpoint. */
-interface Given {
+/** A request that was sent to an endpoint. */
+interface SentRequest {
   readonly at: number;
   readonly version: string;
   readonly isBad: boolean;
 }
 
 export class RolloutFleet implements AsyncDisposable {
-  readonly given: Given[] = [];
+  readonly sent: SentRequest[] = [];
 
   readonly #processes = new Map<string, Process>();
 
@@ -55,13 +55,13 @@
 
   fleet!: TestFleet;
 
-  private constructor(private readonly conducts: Readonly<Record<string, Conduct>>) {}
+  private constructor(private readonly behaviours: Readonly<Record<string, Behaviour>>) {}
 
-  /** Three data centres; a third of the processes have no endpoint yet, all others one of `v1`. */
-  static async start(conducts: Readonly<Record<string, Conduct>>): Promise<RolloutFleet> {
-    const made = new RolloutFleet({ v1: SOUND, ...conducts });
+  /** Starts three data centres; a third of the processes have no endpoint yet, the others one of `v1`. */
+  static async start(behaviours: Readonly<Record<string, Behaviour>>): Promise<RolloutFleet> {
+    const made = new RolloutFleet({ v1: SOUND, ...behaviours });
     const onLaunch = (node: Node, platform: Platform, clock: Clock) =>
-      made.#launched(node, platform, clock);
+      made.#startProcess(node, platform, clock);
     made.fleet = await TestFleet.start({ sizes: SIZES, onLaunch });
     for (const { name } of made.fleet.alive) if (!isSpare(name)) made.announce(name, 'v1');
     await made.fleet.time.advance(3_000);
@@ -72,7 +72,7 @@
     return this.fleet.clock.now();
   }
 
-  /** Orders a version, and starts its endpoints a second later. */
+  /** Writes the order of a version, and starts its endpoints a second later. */
   async order(version: string, durationMs: number): Promise<void> {
     const { platform } = this.fleet;
     const spec = { service: UPSTREAM, targetVersion: version, duration: `${durationMs}ms` };
@@ -82,11 +82,11 @@
     else await platform.create(KEY, value, this.now + CALL_MS);
     this.#orderedAt = this.now;
     await this.serve(1_000);
-    this.begin(version);
+    this.startEndpoints(version);
   }
 
-  /** Starts endpoints of a version beside the processes that have none. */
-  begin(version: string): void {
+  /** Starts endpoints of a version at the processes that have none. */
+  startEndpoints(version: string): void {
     for (const { name } of this.fleet.alive) if (isSpare(name)) this.announce(name, version);
   }
 
@@ -102,28 +102,28 @@
     this.fleet.kill(name);
   }
 
-  /** Starts a process anew; the endpoint beside it has been running on. */
+  /** Restarts a process; its endpoint has been running all the time. */
   revive(name: string): void {
     this.fleet.launch(name, name.split('-')[0]!);
     this.announce(name, this.#versions.get(name) ?? 'v1');
   }
 
-  /** Callers ask at all processes for `ms`. */
+  /** Sends requests through all processes for `ms` milliseconds. */
   async serve(ms: number): Promise<void> {
     const until = this.now + ms;
     while (this.now < until) {
-      for (let count = 0; count < REQUESTS_A_STEP; count++) this.#ask();
+      for (let count = 0; count < REQUESTS_PER_STEP; count++) this.#sendRequest();
       await this.fleet.time.advance(STEP_MS);
     }
   }
 
-  /** What the platform says of the order. */
+  /** The status of the order at the platform. */
   async status(): Promise<unknown> {
     const stored = await this.fleet.platform.get(KEY, this.now + CALL_MS);
     return JSON.parse(stored?.status ?? 'null');
   }
 
-  /** How far each live process takes the roll-out to be, with how many say so. */
+  /** Number of live processes by the phase that they know of. */
   get phases(): Record<string, number> {
     const counts: Record<string, number> = {};
     for (const { rollouts } of this.#processes.values()) {
@@ -133,18 +133,18 @@
     return counts;
   }
 
-  /** Requests given to a version since an instant. */
+  /** Number of requests sent to a version since an instant. */
   count(version: string, since = 0): number {
-    return this.given.filter((one) => one.version === version && one.at >= since).length;
+    return this.sent.filter((one) => one.version === version && one.at >= since).length;
   }
 
-  /** Whether a bad version has got more than it may. */
+  /** Whether a bad version got too many requests, or got some too long after its bad answers. */
   exposure(version: string): { readonly isTooMuch: boolean; readonly isTooLate: boolean } {
-    const since = this.given.filter(({ at }) => at >= this.#orderedAt);
+    const since = this.sent.filter(({ at }) => at >= this.#orderedAt);
     const own = since.filter((one) => one.version === version);
     const most = since.length * ALLOWED_SHARE + ALLOWED_SLACK;
     const known = own.filter(({ isBad }) => isBad)[BAD_ANSWERS - 1];
-    const isLate = ({ at }: Given) => known !== undefined && at > known.at + ROLL_BACK_MS;
+    const isLate = ({ at }: SentRequest) => known !== undefined && at > known.at + ROLL_BACK_MS;
     return { isTooMuch: own.length > most, isTooLate: own.some(isLate) };
   }
 
@@ -153,7 +153,7 @@
     await this.fleet[Symbol.asyncDispose]();
   }
 
-  #launched({ name, control }: Node, platform: Platform, clock: Clock): void {
+  #startProcess({ name, control }: Node, platform: Platform, clock: Clock): void {
     const { roster, ranking, mesh, methods } = control;
     const random = new SeededRandom(SEED + this.#processes.size);
     const source = new ObjectOrders(platform);
@@ -167,7 +167,7 @@
     void rollouts.run(stopping.signal);
   }
 
-  #ask(): void {
+  #sendRequest(): void {
     const entries = [...this.#processes.values()];
     const entry = entries[this.#random.below(entries.length)]!;
     const chosen = entry.balancer.first(UPSTREAM, 'browse');
@@ -175,10 +175,10 @@
     const guard = this.#processes.get(name);
     const version = this.#versions.get(name);
     if (!chosen || !guard || version === undefined || guard.rollouts.isShut) return;
-    const { failing, slower } = this.conducts[version]!(this.now);
+    const { failing, slower } = this.behaviours[version]!(this.now);
     const isFailure = this.#random.next() < failing;
     const tookMs = WORK_MS * slower * 2 ** (this.#random.next() * 2 - 1);
-    this.given.push({ at: this.now, version, isBad: isFailure || slower > 2 });
+    this.sent.push({ at: this.now, version, isBad: isFailure || slower > 2 });
     void guard.rollouts.observe('browse', async () => {
       await this.fleet.clock.sleepUntil(this.now + tookMs);
       return { isFailure, tookMs };
@@ -186,7 +186,7 @@
   }
 }
 
-/** Two of the six processes of a data centre. */
+/** True for two of the six processes of a data centre. */
 function isSpare(name: string): boolean {
   return Number(name.split('-')[1]) > 4;
 }
--- a/src/test/rollout/rollouts_test.ts
+++ b/src/test/rollout/rollouts_test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { type Conduct, FAILING, RolloutFleet } from './rollout_fleet.js';
+import { type Behaviour, FAILING, RolloutFleet } from './rollout_fleet.js';
 
 const DURATION_MS = 16_000;
 const ROLLED_BACK = { state: 'rolled_back', targetVersion: 'v2' };
@@ -18,7 +18,7 @@
 describe('Rollouts', function rollouts() {
   this.timeout(60_000);
 
-  it('complete a sound version in time, and stop sending to the old one before they say so', async () => {
+  it('complete a sound version in time, after the old one has got no requests for a while', async () => {
     await using fleet = await RolloutFleet.start({ v2: () => ({ failing: 0.005, slower: 1 }) });
     await fleet.order('v2', DURATION_MS);
     let lastOld = fleet.now;
@@ -30,12 +30,12 @@
     const idleMs = fleet.now - lastOld;
     expect({
       status: await fleet.status(),
-      isEarly: fleet.now - fleet.given[0]!.at < DURATION_MS * 0.62,
+      isEarly: fleet.now - fleet.sent[0]!.at < DURATION_MS * 0.62,
       isIdleBefore: idleMs >= 800,
     }).to.deep.equal({ status: COMPLETED, isEarly: true, isIdleBefore: true });
   });
 
-  it('withdraw a version that fails, everywhere, and tell the platform', async () => {
+  it('withdraw a failing version in all processes, and write it to the platform', async () => {
     await using fleet = await RolloutFleet.start({ v2: FAILING });
     await fleet.order('v2', DURATION_MS);
     await fleet.serve(DURATION_MS - 1_000);
@@ -46,10 +46,10 @@
     });
   });
 
-  // Guards against a version that turns bad in the very second in which it gets a large share.
-  it('withdraw a version that turns bad just before it would be promoted', async () => {
+  // Guards against a version that becomes bad in the same second in which it gets a large share.
+  it('withdraw a version that becomes bad just before it would be promoted', async () => {
     let badFrom = Infinity;
-    const late: Conduct = (now) => ({ failing: now >= badFrom ? 0.5 : 0, slower: 1 });
+    const late: Behaviour = (now) => ({ failing: now >= badFrom ? 0.5 : 0, slower: 1 });
     await using fleet = await RolloutFleet.start({ v2: late });
     badFrom = fleet.now + 6_500;
     await fleet.order('v2', DURATION_MS);
@@ -57,8 +57,8 @@
     expect(await outcome(fleet)).to.deep.include({ status: ROLLED_BACK, exposure: KEPT });
   });
 
-  // Guards against the evidence dying with those who judge it.
-  it('withdraw a bad version though all readers die as it begins', async () => {
+  // Guards against evidence that is lost with the processes that judge it.
+  it('withdraw a bad version although all readers die when it starts', async () => {
     await using fleet = await RolloutFleet.start({ v2: FAILING });
     await fleet.order('v2', DURATION_MS);
     for (const name of readers(fleet)) fleet.kill(name);
@@ -71,7 +71,7 @@
   });
 
   // Guards against a verdict that waits for the platform.
-  it('withdraw a bad version while the platform is away, and tell it afterwards', async () => {
+  it('withdraw a bad version while the platform is unreachable, and write it afterwards', async () => {
     await using fleet = await RolloutFleet.start({ v2: FAILING });
     await fleet.order('v2', DURATION_MS);
     const { faults } = fleet.fleet.platform;
@@ -87,13 +87,13 @@
     expect(await fleet.status()).to.deep.equal(ROLLED_BACK);
   });
 
-  // Guards against a word that was written, and whose answer was lost, being taken for not written.
-  it('say what became of a version once, though answers of the platform are lost', async () => {
+  // Guards against an outcome that is written again and again because the answers to its writes are lost.
+  it('write an outcome without endless retries when answers of the platform are lost', async () => {
     await using fleet = await RolloutFleet.start({ v2: FAILING });
     const { faults, calls } = fleet.fleet.platform;
     faults.loseAnswers = 3;
     const before = calls.writes;
-    await fleet.order('v2', DURATION_MS).catch(() => fleet.begin('v2'));
+    await fleet.order('v2', DURATION_MS).catch(() => fleet.startEndpoints('v2'));
     await fleet.serve(DURATION_MS - 1_000);
     const { phases } = fleet;
     expect({ status: await fleet.status(), phases }).to.deep.equal({
@@ -103,8 +103,8 @@
     expect(calls.writes - before).to.be.at.most(6);
   });
 
-  // Guards against a data centre that is cut off going on with what the others have found to be bad.
-  it('withdraw a bad version in a data centre that is cut off too', async () => {
+  // Guards against a partitioned data centre that continues with a version the others found to be bad.
+  it('withdraw a bad version also in a partitioned data centre', async () => {
     await using fleet = await RolloutFleet.start({ v2: FAILING });
     await fleet.order('v2', DURATION_MS);
     const { network, cutOff } = fleet.fleet;
@@ -119,8 +119,8 @@
     expect(fleet.phases).to.deep.equal({ 'rolled-back': 18 });
   });
 
-  // Guards against a process that was away giving a withdrawn version its share again.
-  it('tell a process that starts of a verdict, also without the platform', async () => {
+  // Guards against a restarted process that sends requests to a withdrawn version again.
+  it('send the verdict to processes that start, even without the platform', async () => {
     await using fleet = await RolloutFleet.start({ v2: FAILING });
     await fleet.order('v2', DURATION_MS);
     const names = fleet.fleet.alive.map(({ name }) => name).slice(0, 6);
@@ -134,8 +134,8 @@
     expect([fleet.count('v2', since), fleet.phases]).to.deep.equal([0, { 'rolled-back': 18 }]);
   });
 
-  it('begin anew when the operator orders another version', async () => {
-    const sound: Conduct = () => ({ failing: 0, slower: 1 });
+  it('start over when the operator orders another version', async () => {
+    const sound: Behaviour = () => ({ failing: 0, slower: 1 });
     await using fleet = await RolloutFleet.start({ v2: FAILING, v3: sound });
     await fleet.order('v2', DURATION_MS);
     await fleet.serve(8_000);
@@ -144,13 +144,13 @@
     expect(await fleet.status()).to.deep.equal({ state: 'completed', targetVersion: 'v3' });
   });
 
-  // Guards against the endpoints of an order that no reader has seen yet getting their full share.
-  it('give a version nothing while it is not known whether it was ordered, and then all', async () => {
-    const sound: Conduct = () => ({ failing: 0, slower: 1 });
+  // Guards against endpoints getting their full share before their order has been read.
+  it('send nothing to a version until it is known that nobody ordered it, then its full share', async () => {
+    const sound: Behaviour = () => ({ failing: 0, slower: 1 });
     await using fleet = await RolloutFleet.start({ v2: sound });
     const { faults } = fleet.fleet.platform;
     faults.down = true;
-    fleet.begin('v2');
+    fleet.startEndpoints('v2');
     await fleet.serve(4_000);
     const unknown = fleet.count('v2');
     faults.down = false;
--- a/src/test/rollout/steps_test.ts
+++ b/src/test/rollout/steps_test.ts
@@ -14,22 +14,22 @@
 }
 
 describe('steps', () => {
-  // Guards against a trial that alone uses up what a bad version may get.
-  it('give a version on trial less than the allowed share in the mean', () => {
+  // Guards against a trial that uses up the whole share that a bad version may get.
+  it('give a version on trial less than the allowed share on average', () => {
     let sum = 0;
     for (let now = 0; now < 16_000; now += 1) sum += shareOf('trial', ALLOWED, now).share;
     expect(sum / 16_000).to.be.within(0.05, 0.07);
     expect(shareOf('withdrawn', ALLOWED, 0).share).to.equal(0);
   });
 
-  // Guards against a version that is bad under load only: a small share must still fill some endpoints.
-  it('load a few endpoints on trial at least as much as the old ones are', () => {
+  // Guards against missing a version that is bad only under load: a small share must fill some endpoints.
+  it('load a few endpoints on trial at least as much as the old ones', () => {
     const { share } = shareOf('trial', ALLOWED, 0);
     const loads = [3, 9, 27, 116].map((stable) => (share * stable) / countFor(share, stable));
     for (const [index, load] of loads.entries()) expect(load).to.be.at.least(index === 0 ? 0.7 : 1);
   });
 
-  it('end the trial at its time, with answers on each route that is used', () => {
+  it('end the trial after its time, once there are answers on each used route', () => {
     const untried = [...TRIED, { route: 'confirm', old: 90, tried: 1 }];
     const rare = [...TRIED, { route: 'report', old: 3, tried: 0 }];
     expect({
@@ -42,7 +42,7 @@
     }).toMatchSnapshot();
   });
 
-  it('end a roll-out that learns nothing without risk', () => {
+  it('withdraw a version without enough answers, and continue without any requests', () => {
     const finding = { ...SOUND, answered: 2 };
     const idle = { finding: { ...SOUND, answered: 0 }, coverage: [], sinceOrderMs: 10_000 };
     expect({
@@ -52,8 +52,8 @@
     }).toMatchSnapshot();
   });
 
-  // Guards against the old version being stopped under requests that it has begun.
-  it('tell the platform only after the old version has had time to finish', () => {
+  // Guards against the old version being stopped while it still serves requests.
+  it('complete only after the old version has had time to finish', () => {
     const promoting = orderOf({ phase: 'promoting' });
     expect(next(orderOf({ phase: 'proof' }), {})).to.equal('promoting');
     expect(next(promoting, { finding: { ...SOUND, isBad: true } })).to.equal('withdrawn');
