--- a/src/rollout/judge.ts
+++ b/src/rollout/judge.ts
@@ -27,7 +27,7 @@
 
   constructor(
     private readonly orders: Orders,
-    private readonly evidence: EvidenceBook,
+    private readonly evidenceStore: EvidenceBook,
     private readonly broadcast: RolloutBroadcast,
     private readonly clock: Clock,
     private readonly log: Log,
@@ -70,7 +70,7 @@
 
   #evaluate({ rollout, detector, since, phaseSince }: Trial): void {
     const now = this.clock.now();
-    const finding = detector.look(this.evidence.of(rollout), now);
+    const finding = detector.look(this.evidenceStore.of(rollout), now);
     const { coverage } = detector;
     const progress = {
       sinceOrderMs: now - since,
--- a/src/rollout/order_reader.ts
+++ b/src/rollout/order_reader.ts
@@ -117,7 +117,7 @@
       this.orders.of(upstream)?.version === version;
     const { revision } = ordered;
     const cleared = unclearedVersions.filter((candidate) => !isOrdered(candidate));
-    this.broadcast.addClearances(cleared.map((candidate) => ({ ...candidate, revision })));
+    this.broadcast.markCleared(cleared.map((candidate) => ({ ...candidate, revision })));
   }
 
   /** Readers wait according to their rank, so that usually one of them writes; the write is conditional. */
--- a/src/rollout/orders.ts
+++ b/src/rollout/orders.ts
@@ -89,7 +89,7 @@
     return true;
   }
 
-  clear(clearance: VersionClearance): boolean {
+  markCleared(clearance: VersionClearance): boolean {
     const key = clearanceKey(clearance.upstream, clearance.version);
     const held = this.#clearances.get(key);
     if (held && held.revision >= clearance.revision) return false;
@@ -102,7 +102,7 @@
   }
 
   /** Records that all orders are known now. */
-  complete(): void {
+  markComplete(): void {
     if (this.isComplete) return;
     this.isComplete = true;
     this.#generation += 1;
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -42,7 +42,7 @@
 
   readonly plan: RolloutRoles;
 
-  readonly #evidence = new EvidenceBook();
+  readonly #evidenceStore = new EvidenceBook();
 
   readonly #counter = new AnswerCounter();
 
@@ -64,8 +64,15 @@
       dependencies;
     const { orders } = this;
     this.plan = new RolloutRoles(orders, roster, clock, allowedShare);
-    this.#broadcast = new RolloutBroadcast(mesh, orders, this.#evidence, clock, random, methods);
-    this.#judge = new Judge(orders, this.#evidence, this.#broadcast, clock, log);
+    this.#broadcast = new RolloutBroadcast(
+      mesh,
+      orders,
+      this.#evidenceStore,
+      clock,
+      random,
+      methods,
+    );
+    this.#judge = new Judge(orders, this.#evidenceStore, this.#broadcast, clock, log);
     this.#reader = new OrderReader(
       source,
       orders,
@@ -154,7 +161,7 @@
       this.#countedOrder = orderNameOf(rollout);
       this.#counter.reset();
     }
-    this.#evidence.retain(({ upstream, order: name }) => {
+    this.#evidenceStore.retain(({ upstream, order: name }) => {
       const order = this.orders.of(upstream);
       return order !== undefined && orderNameOf(order) === name && isUndecided(order);
     });
--- a/src/rollout/spread.ts
+++ b/src/rollout/spread.ts
@@ -35,7 +35,7 @@
   constructor(
     private readonly mesh: Pick<Mesh, 'peers' | 'onOpen'>,
     private readonly orders: Orders,
-    private readonly evidence: EvidenceBook,
+    private readonly evidenceStore: EvidenceBook,
     private readonly clock: Clock,
     private readonly random: Random,
     methods: Methods,
@@ -51,9 +51,9 @@
     this.#send({ rollouts: rollouts.filter((rollout) => this.orders.merge(rollout)) }, from);
   }
 
-  addClearances(clearances: readonly VersionClearance[], from?: Peer): void {
+  markCleared(clearances: readonly VersionClearance[], from?: Peer): void {
     this.#send(
-      { clearances: clearances.filter((clearance) => this.orders.clear(clearance)) },
+      { clearances: clearances.filter((clearance) => this.orders.markCleared(clearance)) },
       from,
     );
   }
@@ -61,19 +61,19 @@
   /** Records that all orders are known here now, and tells all peers but `from`. */
   markComplete(from?: Peer): void {
     if (this.orders.isComplete) return;
-    this.orders.complete();
+    this.orders.markComplete();
     for (const peer of this.mesh.peers) if (peer !== from) peer.notify(ROLLOUT, newsOf(true, {}));
   }
 
   addEvidence(evidence: Evidence, from?: string): void {
-    if (!this.evidence.merge(evidence)) return;
+    if (!this.evidenceStore.merge(evidence)) return;
     this.#pending.set(evidenceKey(evidence), { evidence, from });
     this.#flushing ??= this.#flushLater();
   }
 
   #receive({ isComplete, rollouts, clearances, evidence }: RolloutNews, peer: Peer): void {
     this.addOrders(rollouts, peer);
-    this.addClearances(clearances, peer);
+    this.markCleared(clearances, peer);
     if (isComplete) this.markComplete(peer);
     const from = peer.member?.instance;
     for (const statement of evidence) this.addEvidence(statement, from);
@@ -99,12 +99,12 @@
   }
 
   #all(): RolloutNews {
-    const { orders, evidence } = this;
+    const { orders, evidenceStore } = this;
     return {
       isComplete: orders.isComplete,
       rollouts: orders.all(),
       clearances: orders.clearances(),
-      evidence: evidence.all(),
+      evidence: evidenceStore.all(),
     };
   }
 }
--- a/src/test/rollout/orders_test.ts
+++ b/src/test/rollout/orders_test.ts
@@ -77,7 +77,7 @@
   it('keep a bounded number of versions without an order', () => {
     const orders = new Orders();
     for (let revision = 1; revision <= 5_000; revision++) {
-      orders.clear({ upstream: 'listings', version: `v${revision}`, revision });
+      orders.markCleared({ upstream: 'listings', version: `v${revision}`, revision });
     }
     expect(orders.clearances().length).to.be.at.most(1_000);
     expect(orders.clearedAt('listings', 'v5000')).to.equal(5_000);
--- a/src/test/rollout/plan_test.ts
+++ b/src/test/rollout/plan_test.ts
@@ -20,7 +20,7 @@
   readonly rolloutRoles = new RolloutRoles(this.orders, this.roster, this.time.clock, 0.1);
 
   constructor() {
-    this.orders.complete();
+    this.orders.markComplete();
   }
 
   /** Adds an endpoint of each version to the roster. */
@@ -64,7 +64,7 @@
     world.addEndpoints('v2');
     const before = world.roles().v2;
     const { unclearedVersions } = world.rolloutRoles;
-    world.orders.clear({ upstream: 'listings', version: 'v2', revision: 7 });
+    world.orders.markCleared({ upstream: 'listings', version: 'v2', revision: 7 });
     const cleared = world.roles().v2;
     world.orders.merge(orderOf({ orderedAt: 9, revision: 9 }));
     expect({
