--- a/src/rollout/order_reader.ts
+++ b/src/rollout/order_reader.ts
@@ -7,7 +7,7 @@
 import { type Judge } from './judge.js';
 import { type Orders } from './orders.js';
 import { type OrderSource } from './order_source.js';
-import { type UpstreamVersion } from './plan.js';
+import { type Newcomer } from './plan.js';
 import { type RolloutBroadcast } from './spread.js';
 
 /** Timeout of one watch, in milliseconds; several processes hold one, so a broken one does little harm. */
@@ -32,9 +32,9 @@
 
 const FINAL_PHASES: ReadonlySet<RolloutPhase> = new Set(['rolled-back', 'completed']);
 
-/** Provides the versions that no order is known for. */
+/** Provides the versions for which no order is known. */
 interface KnownVersions {
-  readonly unclearedVersions: readonly UpstreamVersion[];
+  readonly newcomers: readonly Newcomer[];
 }
 
 export class OrderReader {
@@ -80,7 +80,7 @@
       const isOver = this.orders.all().every(({ phase }) => FINAL_PHASES.has(phase));
       await this.clock.sleepUntil(this.clock.now() + (isOver ? IDLE_POLL_MS : POLL_MS), signal);
       if (!this.ranking.isReader || signal.aborted) return;
-      await this.#clearVersions();
+      await this.#clearNewcomers();
       for (const rollout of this.orders.all()) await this.#writeInTurn(rollout);
     });
   }
@@ -107,17 +107,17 @@
     this.broadcast.markComplete();
   }
 
-  /** Clears versions without an order. The list has every order that precedes their endpoints. */
-  async #clearVersions(): Promise<void> {
-    const { unclearedVersions } = this.knownVersions;
-    if (unclearedVersions.length === 0) return;
+  /** Clears newcomers without an order. The list has every order that was written before they appeared. */
+  async #clearNewcomers(): Promise<void> {
+    const { newcomers } = this.knownVersions;
+    if (newcomers.length === 0) return;
     const ordered = await this.source.list(this.clock.now() + CALL_MS);
     this.#merge(ordered);
-    const isOrdered = ({ upstream, version }: UpstreamVersion) =>
+    const isOrdered = ({ upstream, version }: Newcomer) =>
       this.orders.of(upstream)?.version === version;
     const { revision } = ordered;
-    const cleared = unclearedVersions.filter((candidate) => !isOrdered(candidate));
-    this.broadcast.markCleared(cleared.map((candidate) => ({ ...candidate, revision })));
+    const cleared = newcomers.filter((newcomer) => !isOrdered(newcomer));
+    this.broadcast.markCleared(cleared.map((newcomer) => ({ ...newcomer, revision })));
   }
 
   /** Readers wait according to their rank, so that usually one of them writes; the write is conditional. */
--- a/src/rollout/plan.ts
+++ b/src/rollout/plan.ts
@@ -18,8 +18,8 @@
   readonly versions: Map<string, number>;
 }
 
-/** A version of an upstream. */
-export interface UpstreamVersion {
+/** A version that appeared beside another, and for which no order is known. */
+export interface Newcomer {
   readonly upstream: string;
   readonly version: string;
 }
@@ -61,11 +61,11 @@
     return { share, turn, count: countFor(share, stable) };
   }
 
-  /** Versions for which a reader has to find out whether they were ordered. */
-  get unclearedVersions(): UpstreamVersion[] {
+  /** Versions for which a reader has to find out whether there is an order. */
+  get newcomers(): Newcomer[] {
     return [...this.#seen].flatMap(([upstream, { versions }]) =>
       [...versions.keys()]
-        .filter((version) => this.#isUncleared(upstream, version))
+        .filter((version) => this.#isNewcomer(upstream, version))
         .map((version) => ({ upstream, version })),
     );
   }
@@ -87,10 +87,10 @@
   #isHeldBack(upstream: string, version: string | undefined): boolean {
     if (version === undefined) return false;
     if (!this.orders.isComplete) return version !== this.#lowestVersion(upstream);
-    return this.#isUncleared(upstream, version);
+    return this.#isNewcomer(upstream, version);
   }
 
-  #isUncleared(upstream: string, version: string): boolean {
+  #isNewcomer(upstream: string, version: string): boolean {
     const seen = this.#seen.get(upstream);
     const since = seen?.versions.get(version);
     if (!seen || since === undefined || since - seen.firstAt <= INITIAL_VERSIONS_MS) return false;
--- a/src/test/rollout/order_reader_test.ts
+++ b/src/test/rollout/order_reader_test.ts
@@ -56,7 +56,7 @@
     const judge = new Judge(orders, book, broadcast, clock, log);
     const ranking = new Ranking(new Roster(memberOf('self')), FANOUT);
     const source = new UnreadableSource(3);
-    const knownVersions = { unclearedVersions: [] };
+    const knownVersions = { newcomers: [] };
     const reader = new OrderReader(
       source,
       orders,
--- a/src/test/rollout/plan_test.ts
+++ b/src/test/rollout/plan_test.ts
@@ -63,13 +63,13 @@
     await world.time.advance(LATER_MS);
     world.addEndpoints('v2');
     const before = world.roles().v2;
-    const { unclearedVersions } = world.rolloutRoles;
+    const { newcomers } = world.rolloutRoles;
     world.orders.markCleared({ upstream: 'listings', version: 'v2', revision: 7 });
     const cleared = world.roles().v2;
     world.orders.merge(orderOf({ orderedAt: 9, revision: 9 }));
     expect({
       before,
-      newcomers: unclearedVersions,
+      newcomers,
       cleared,
       ordered: world.roles().v2,
     }).toMatchSnapshot();
