--- a/src/test/admission/limit_test.ts
+++ b/src/test/admission/limit_test.ts
@@ -136,7 +136,7 @@
     expect(limit.load).to.include({ inFlight: 0, waiting: 0 });
   });
 
-  // Guards against work for a caller that disconnected before its job began to wait: `onCancel`
+  // Guards against work for a caller that disconnected before its job began to wait: `onGone`
   // calls back only once, and then during the registration.
   it('removes a job at once whose caller has already disconnected', async () => {
     const onGone = (callback: () => void) => callback();
