--- a/src/placement/balancer.ts
+++ b/src/placement/balancer.ts
@@ -52,10 +52,8 @@
   }
 
   /** Chooses the endpoint of a first attempt; a share of these goes to the version on trial. */
-  first(upstream: string, route: string, remotePenaltyMs = 0): Experience | undefined {
-    return (
-      this.#chooseOnTrial(upstream, route) ?? this.choose(upstream, NONE_TRIED, remotePenaltyMs)
-    );
+  first(upstream: string, route: string, awayMs = 0): Experience | undefined {
+    return this.#chooseOnTrial(upstream, route) ?? this.choose(upstream, NONE_TRIED, awayMs);
   }
 
   #chooseOnTrial(upstream: string, route: string): Experience | undefined {
@@ -71,23 +69,19 @@
   /**
    * Chooses an endpoint of `upstream` other than those tried; undefined if there is none. With a
    * local endpoint available, another data centre is chosen only if it is expected to answer sooner
-   * by more than `remotePenaltyMs`, which is above 0 for large answers.
+   * by more than `awayMs`, which is above 0 for large answers.
    */
-  choose(
-    upstream: string,
-    tried: ReadonlySet<Experience>,
-    remotePenaltyMs = 0,
-  ): Experience | undefined {
+  choose(upstream: string, tried: ReadonlySet<Experience>, awayMs = 0): Experience | undefined {
     const group = this.#groups.of(upstream);
     if (!group) return undefined;
     const now = this.clock.now();
-    const isLarge = remotePenaltyMs > 0;
+    const isLarge = awayMs > 0;
     const local = this.#pickBetter(group.local, group, tried, now, isLarge);
     if (local && !local.isSaturated(now, isLarge)) return local;
     const remote = this.#pickBetter(group.remote, group, tried, now, isLarge);
     if (local && remote) {
       const { typicalMs } = group;
-      const remoteMs = remote.cost(typicalMs, now, isLarge) + remotePenaltyMs;
+      const remoteMs = remote.cost(typicalMs, now, isLarge) + awayMs;
       return remoteMs < local.cost(typicalMs, now, isLarge) ? remote : local;
     }
     return (
