--- a/src/quarantine/bulletins.ts
+++ b/src/quarantine/bulletins.ts
@@ -1,4 +1,4 @@
-/** Floods deaths and clearances over the links, and tells them to processes that start. */
+/** Distributes deaths and clearances to all processes over the links. */
 import { type Bulletin } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { BULLETIN } from '../distribution/methods.js';
@@ -8,10 +8,11 @@
 import { Quarantine } from './quarantine.js';
 
 /**
- * What is news goes on to all peers but the one it came from; what is known already stops there.
- * A link carries messages in order, so that a clearance never overtakes the death it clears of.
+ * Forwards new items to all peers but the one they came from; items already known are not forwarded.
+ * A peer gets everything known when its link opens. A link delivers messages in order, so a clearance
+ * never overtakes the death that it clears a request of.
  */
-export class Bulletins {
+export class BulletinBroadcaster {
   readonly quarantine: Quarantine;
 
   constructor(
@@ -20,14 +21,16 @@
     clock: Clock,
     random: Random,
   ) {
-    this.quarantine = new Quarantine(clock, random, (bulletin) => this.#send(bulletin));
-    methods.on(BULLETIN, (peer, bulletin) => this.#send(this.quarantine.merge(bulletin), peer));
+    this.quarantine = new Quarantine(clock, random, (bulletin) => this.#notifyPeers(bulletin));
+    methods.on(BULLETIN, (peer, bulletin) =>
+      this.#notifyPeers(this.quarantine.merge(bulletin), peer),
+    );
     mesh.onOpen((peer) => {
-      if (!this.quarantine.isIdle) peer.notify(BULLETIN, this.quarantine.bulletin());
+      if (!this.quarantine.isIdle) peer.notify(BULLETIN, this.quarantine.snapshot());
     });
   }
 
-  #send(bulletin: Bulletin, from?: Peer): void {
+  #notifyPeers(bulletin: Bulletin, from?: Peer): void {
     if (bulletin.deaths.length + bulletin.clearances.length === 0) return;
     for (const peer of this.mesh.peers) {
       if (peer !== from) peer.notify(BULLETIN, bulletin);
--- a/src/quarantine/flights.ts
+++ b/src/quarantine/flights.ts
@@ -1,4 +1,4 @@
-/** The requests in flight at the upstream instance beside this process, and what it died of. */
+/** Detects crashes of the upstream instance beside this process, and the requests suspected of them. */
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { connect } from 'node:net';
 import { asOutcome } from '../contracts.js';
@@ -12,35 +12,35 @@
   wholeFingerprint,
 } from './request_fingerprint.js';
 
-/** Where the upstream instance listens. */
-export interface Whereabouts {
+/** Address on which the upstream instance listens. */
+export interface Address {
   readonly host: string;
   readonly port: number;
 }
 
-/** What an upstream instance has announced, as far as it is needed here. */
-export interface Announcement extends Whereabouts {
+/** The part of an upstream instance's announcement that crash detection needs. */
+export interface AnnouncedUpstream extends Address {
   readonly upstream: string;
 }
 
-/** An exchange with the upstream instance. */
-export interface Watched {
-  readonly announced: Announcement;
+/** An exchange to watch for a crash of the upstream instance. */
+export interface WatchedExchange {
+  readonly announced: AnnouncedUpstream;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
 }
 
-/** Tells whether a new connection is refused, which proves that nobody listens any more. */
-export type RefusalProbe = (whereabouts: Whereabouts) => Promise<boolean>;
+/** Resolves to whether a new connection is refused, which proves that nothing listens any more. */
+export type RefusalProbe = (address: Address) => Promise<boolean>;
 
-/** How long the others of the same death have to fail too, in milliseconds. */
-const GATHER_MS = 50;
+/** Time for the other requests in flight at the same crash to fail too, in milliseconds. */
+const GATHER_WINDOW_MS = 50;
 const PROBE_TIMEOUT_MS = 500;
 const FIRST_SERVER_ERROR = 500;
 const TOO_MANY_REQUESTS = 429;
 
-/** One request in flight. Nothing is digested unless it has to be. */
-class Flight {
+/** A request in flight. Its fingerprint is computed only when it is needed. */
+class InFlightRequest {
   readonly #prefix: Buffer[] = [];
 
   #length = 0;
@@ -48,19 +48,20 @@
   constructor(
     private readonly upstream: string,
     private readonly request: IncomingMessage,
-    /** The fingerprint, if the body was opened to find it out. */
-    private readonly known: string | undefined,
+    /** The fingerprint, if the beginning of the body was read to compute it. */
+    private readonly knownFingerprint: string | undefined,
   ) {
-    if (known === undefined && needsBody(request)) request.on('data', this.#keep);
+    if (knownFingerprint === undefined && needsBody(request))
+      request.on('data', this.#collectPrefix);
   }
 
   get fingerprint(): string {
-    if (this.known !== undefined) return this.known;
+    if (this.knownFingerprint !== undefined) return this.knownFingerprint;
     const head = headFingerprint(this.upstream, this.request);
     return needsBody(this.request) ? wholeFingerprint(head, this.#prefix) : head;
   }
 
-  readonly #keep = (chunk: Buffer): void => {
+  readonly #collectPrefix = (chunk: Buffer): void => {
     if (this.#length >= MAX_DIGESTED_BYTES) return;
     this.#prefix.push(chunk.subarray(0, MAX_DIGESTED_BYTES - this.#length));
     this.#length += chunk.length;
@@ -68,25 +69,25 @@
 }
 
 /**
- * A connection that breaks says little: the upstream may have closed just that one. Only when a
- * new connection is refused as well has the upstream died, and what broke then was in flight.
+ * A broken connection proves little: the upstream instance may have closed just that one. Only if a new
+ * connection is refused as well has the instance crashed, with the broken requests in flight.
  */
-export class Flights {
-  #broken = new Set<Flight>();
+export class CrashDetector {
+  #broken = new Set<InFlightRequest>();
 
-  readonly #known = new WeakMap<IncomingMessage, string>();
+  readonly #knownFingerprints = new WeakMap<IncomingMessage, string>();
 
-  #isExamining = false;
+  #isInvestigating = false;
 
   constructor(
     private readonly quarantine: Quarantine,
     private readonly clock: Clock,
-    private readonly isRefused: RefusalProbe = probe,
+    private readonly isRefused: RefusalProbe = isConnectionRefused,
   ) {}
 
   /**
-   * Throws `quarantined` for a request that is kept out. Resolves to the body if it had to be
-   * opened to find that out: it is then to be sent on from there.
+   * Throws `quarantined` for a quarantined request. Resolves to the body if its beginning had to be
+   * read for the check: it must then be forwarded from there.
    */
   async admit(
     upstream: string,
@@ -102,56 +103,60 @@
     const opening = await openBody(request);
     const fingerprint = wholeFingerprint(head, opening.prefix);
     quarantine.check(fingerprint);
-    this.#known.set(request, fingerprint);
+    this.#knownFingerprints.set(request, fingerprint);
     return opening;
   }
 
   /**
-   * Carries out an exchange whose body begins to flow in the turn of the call, and looks into the
-   * death of the upstream instance if it breaks.
+   * Runs an exchange and, if its connection breaks, checks whether the upstream instance has crashed.
+   * The exchange must begin to read the body synchronously.
    */
   async watch<T>(
-    { announced, request, response }: Watched,
+    { announced, request, response }: WatchedExchange,
     exchange: () => Promise<T>,
   ): Promise<T> {
-    const flight = new Flight(announced.upstream, request, this.#known.get(request));
+    const inFlight = new InFlightRequest(
+      announced.upstream,
+      request,
+      this.#knownFingerprints.get(request),
+    );
     try {
       const result = await exchange();
-      if (isGood(response.statusCode)) this.#answered(flight);
+      if (provesSuccess(response.statusCode)) this.#onSuccess(inFlight);
       return result;
     } catch (error) {
       const { verdict, reason } = asOutcome(error);
-      if (verdict !== 'not-run' && reason !== 'cancelled') this.#broke(flight, announced);
+      if (verdict !== 'not-run' && reason !== 'cancelled') this.#onBroken(inFlight, announced);
       throw error;
     }
   }
 
-  #answered(flight: Flight): void {
-    if (!this.quarantine.isIdle) this.quarantine.completed(flight.fingerprint);
+  #onSuccess(inFlight: InFlightRequest): void {
+    if (!this.quarantine.isIdle) this.quarantine.recordSuccess(inFlight.fingerprint);
   }
 
-  #broke(flight: Flight, announced: Announcement): void {
-    this.#broken.add(flight);
-    if (!this.#isExamining) void this.#examine(announced);
+  #onBroken(inFlight: InFlightRequest, announced: AnnouncedUpstream): void {
+    this.#broken.add(inFlight);
+    if (!this.#isInvestigating) void this.#investigate(announced);
   }
 
-  async #examine(announced: Announcement): Promise<void> {
-    this.#isExamining = true;
-    const isDead = await this.isRefused(announced);
-    if (isDead) await this.clock.sleepUntil(this.clock.now() + GATHER_MS);
+  async #investigate(announced: AnnouncedUpstream): Promise<void> {
+    this.#isInvestigating = true;
+    const hasCrashed = await this.isRefused(announced);
+    if (hasCrashed) await this.clock.sleepUntil(this.clock.now() + GATHER_WINDOW_MS);
     const suspects = [...this.#broken].map(({ fingerprint }) => fingerprint);
     this.#broken = new Set();
-    this.#isExamining = false;
-    if (isDead) this.quarantine.died(announced.upstream, suspects);
+    this.#isInvestigating = false;
+    if (hasCrashed) this.quarantine.recordDeath(announced.upstream, suspects);
   }
 }
 
-/** An upstream instance that had no room has not run the request, so it is not cleared by that. */
-function isGood(status: number): boolean {
+/** Whether a response clears the request: on a 429 the upstream instance has not run it. */
+function provesSuccess(status: number): boolean {
   return status < FIRST_SERVER_ERROR && status !== TOO_MANY_REQUESTS;
 }
 
-function probe({ host, port }: Whereabouts): Promise<boolean> {
+function isConnectionRefused({ host, port }: Address): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = connect({ host, port, timeout: PROBE_TIMEOUT_MS });
     const finish = (isRefused: boolean) => {
--- a/src/quarantine/quarantine.ts
+++ b/src/quarantine/quarantine.ts
@@ -1,4 +1,4 @@
-/** Requests that were in flight at several upstream deaths are refused for a while, everywhere. */
+/** Refuses, on all processes and for a limited time, requests that were in flight at several crashes. */
 import {
   type Bulletin,
   type Clearance,
@@ -11,7 +11,7 @@
 import { type Random } from '../runtime/random.js';
 import { headOf, isRead } from './request_fingerprint.js';
 
-/** A death as it is held here. */
+/** A death (crash of an upstream instance) as it is stored. */
 interface KnownDeath {
   readonly upstream: string;
   readonly suspects: readonly string[];
@@ -19,38 +19,41 @@
   readonly diedAt: number;
 }
 
-/** With one death in common a request may be there by chance; with two it is taken for the cause. */
+/** In flight at one death, a request may be there by chance; at two, it is taken for the cause. */
 const DEATHS_TO_QUARANTINE = 2;
-/** Deaths further back do not count, in milliseconds. */
-export const MEMORY_MS = 600_000;
-/** Length of a quarantine for what many callers send alike; doubles with each further death. */
-export const READ_QUARANTINE_MS = 30_000;
-/** Longest quarantine, and the length of all others, in milliseconds. */
-export const QUARANTINE_MS = 600_000;
+/** How long a death counts, in milliseconds. */
+export const DEATH_RETENTION_MS = 600_000;
+/**
+ * Quarantine of a read, which many callers send alike, after two deaths, in milliseconds; doubles with
+ * each further death.
+ */
+export const MIN_READ_QUARANTINE_MS = 30_000;
+/** Longest quarantine of a read, and the quarantine of every other request, in milliseconds. */
+export const MAX_QUARANTINE_MS = 600_000;
 
 const EMPTY: Bulletin = { deaths: [], clearances: [] };
 
 /**
- * Every process works out the same quarantines from the same deaths and clearances, so only these
- * travel. A request that is answered well after a death is cleared of it: popular reads that were
- * in flight beside the cause are answered elsewhere all the time.
+ * Every process derives the same quarantines from the same deaths and clearances, so only these are
+ * distributed. A request that succeeds after a death is cleared of it: popular reads that were in
+ * flight beside the cause succeed on other instances all the time.
  */
 export class Quarantine {
   readonly #deaths = new Map<string, KnownDeath>();
 
-  /** Instant of the latest good answer, by fingerprint; only of those that were suspected. */
+  /** Time of the latest success, by fingerprint, in milliseconds since the epoch; suspects only. */
   readonly #clearedAt = new Map<string, number>();
 
-  /** Quarantined until, in milliseconds since the epoch, by fingerprint. */
-  #until = new Map<string, number>();
+  /** End of the quarantine, by fingerprint, in milliseconds since the epoch. */
+  #quarantinedUntil = new Map<string, number>();
 
   #suspected = new Set<string>();
 
-  /** Quarantined fingerprints without their digest of a body. */
-  #heads = new Set<string>();
+  /** Head parts of the quarantined fingerprints. */
+  #quarantinedHeads = new Set<string>();
 
   /**
-   * @param publish sends a bulletin to the neighbours.
+   * @param publish sends a bulletin to the peers.
    */
   constructor(
     private readonly clock: Clock,
@@ -58,56 +61,56 @@
     private readonly publish: (bulletin: Bulletin) => void,
   ) {}
 
-  /** Whether nothing is suspected: the usual case, in which requests need no fingerprint. */
+  /** Whether no death is stored: the usual case, in which requests need no fingerprint. */
   get isIdle(): boolean {
-    if (this.#deaths.size > 0) this.#forget();
+    if (this.#deaths.size > 0) this.#removeExpired();
     return this.#deaths.size === 0;
   }
 
-  /** Deaths remembered. */
+  /** Number of deaths stored. */
   get deaths(): number {
     return this.#deaths.size;
   }
 
-  /** Requests kept out now, by fingerprint. */
+  /** Number of fingerprints quarantined now. */
   get size(): number {
     const now = this.clock.now();
-    return [...this.#until.values()].filter((until) => until > now).length;
+    return [...this.#quarantinedUntil.values()].filter((until) => until > now).length;
   }
 
-  /** Whether a request with that head may be quarantined, depending on its body. */
+  /** Whether the body decides if a request with that head is quarantined. */
   needsBody(head: string): boolean {
-    return this.#heads.has(head);
+    return this.#quarantinedHeads.has(head);
   }
 
-  /** Takes note that the upstream instance beside this process died with these in flight. */
-  died(upstream: string, suspects: readonly string[]): void {
+  /** Records that the upstream instance beside this process crashed with these requests in flight. */
+  recordDeath(upstream: string, suspects: readonly string[]): void {
     if (suspects.length === 0) return;
     const unique = [...new Set(suspects)].slice(0, MAX_SUSPECTS);
     const death = { id: this.random.nonce(), upstream, suspects: unique, ageMs: 0 };
     this.publish(this.merge({ ...EMPTY, deaths: [death] }));
   }
 
-  /** Takes note of a good answer to a request. */
-  completed(fingerprint: string): void {
+  /** Records the success of a request. */
+  recordSuccess(fingerprint: string): void {
     if (!this.#suspected.has(fingerprint)) return;
     this.publish(this.merge({ ...EMPTY, clearances: [{ fingerprint, ageMs: 0 }] }));
   }
 
-  /** Takes over what is news, and returns it to be passed on. */
+  /** Adds the items that are new here, and returns them to be forwarded. */
   merge({ deaths, clearances }: Bulletin): Bulletin {
-    this.#forget();
-    const news = {
-      deaths: deaths.filter((death) => this.#takeDeath(death)),
-      clearances: clearances.filter((clearance) => this.#takeClearance(clearance)),
+    this.#removeExpired();
+    const added = {
+      deaths: deaths.filter((death) => this.#addDeath(death)),
+      clearances: clearances.filter((clearance) => this.#addClearance(clearance)),
     };
-    if (news.deaths.length + news.clearances.length > 0) this.#decide();
-    return news;
+    if (added.deaths.length + added.clearances.length > 0) this.#recompute();
+    return added;
   }
 
-  /** All that is known, for a process that has just started. */
-  bulletin(): Bulletin {
-    this.#forget();
+  /** All deaths and the latest clearances, for a peer that has just connected. */
+  snapshot(): Bulletin {
+    this.#removeExpired();
     const now = this.clock.now();
     const deaths = [...this.#deaths].map(([id, { upstream, suspects, diedAt }]) => ({
       id,
@@ -122,29 +125,30 @@
     return { deaths, clearances: clearances.slice(-MAX_BULLETIN_ITEMS) };
   }
 
-  /** Throws `quarantined` (`not-run`) with the end of the quarantine, if there is one. */
+  /** Throws `quarantined` (`not-run`), with the end of the quarantine, if the request is quarantined. */
   check(fingerprint: string): void {
-    const until = this.#until.get(fingerprint);
+    const until = this.#quarantinedUntil.get(fingerprint);
     if (until === undefined || until <= this.clock.now()) return;
-    throw new OutcomeError('upstreams died with this request in flight', {
+    throw new OutcomeError('upstream instances crashed while this request was in flight', {
       verdict: 'not-run',
       reason: 'quarantined',
       retryAt: until,
     });
   }
 
-  #takeDeath({ id, upstream, suspects, ageMs }: Death): boolean {
-    if (this.#deaths.has(id) || ageMs >= MEMORY_MS) return false;
-    if (this.#deaths.size >= MAX_BULLETIN_ITEMS && !this.#makeRoom(suspects)) return false;
+  #addDeath({ id, upstream, suspects, ageMs }: Death): boolean {
+    if (this.#deaths.has(id) || ageMs >= DEATH_RETENTION_MS) return false;
+    if (this.#deaths.size >= MAX_BULLETIN_ITEMS && !this.#evictUnrelatedDeath(suspects))
+      return false;
     this.#deaths.set(id, { upstream, suspects, diedAt: this.clock.now() - ageMs });
     return true;
   }
 
   /**
-   * When a herd of upstreams dies the table is full of deaths that have nothing in common. A death
-   * that shares a suspect with one held takes the place of the oldest that shares none with it.
+   * When many upstream instances die at once, the table fills with unrelated deaths. A death that shares
+   * a suspect with a stored one replaces the oldest stored death that shares none with it.
    */
-  #makeRoom(suspects: readonly string[]): boolean {
+  #evictUnrelatedDeath(suspects: readonly string[]): boolean {
     if (!suspects.some((suspect) => this.#suspected.has(suspect))) return false;
     for (const [id, held] of this.#deaths) {
       const isRelated = held.suspects.some((suspect) => suspects.includes(suspect));
@@ -153,11 +157,11 @@
     return false;
   }
 
-  #takeClearance({ fingerprint, ageMs }: Clearance): boolean {
+  #addClearance({ fingerprint, ageMs }: Clearance): boolean {
     const clearedAt = this.clock.now() - ageMs;
     const latestDeath = this.#latestDeath(fingerprint);
     const held = this.#clearedAt.get(fingerprint) ?? -Infinity;
-    // News only if it clears the request of a death: a popular read would be published for ever.
+    // New only if it clears the request of a death: otherwise a popular read would be published for ever.
     if (latestDeath === undefined || held >= latestDeath || clearedAt < latestDeath) return false;
     this.#clearedAt.delete(fingerprint);
     this.#clearedAt.set(fingerprint, clearedAt);
@@ -172,8 +176,8 @@
     return latest;
   }
 
-  #forget(): void {
-    const since = this.clock.now() - MEMORY_MS;
+  #removeExpired(): void {
+    const since = this.clock.now() - DEATH_RETENTION_MS;
     let isChanged = false;
     for (const [id, { diedAt }] of this.#deaths) {
       if (diedAt <= since) isChanged = this.#deaths.delete(id) || isChanged;
@@ -181,11 +185,11 @@
     for (const [fingerprint, clearedAt] of this.#clearedAt) {
       if (clearedAt <= since) this.#clearedAt.delete(fingerprint);
     }
-    if (isChanged) this.#decide();
+    if (isChanged) this.#recompute();
   }
 
-  /** Works the quarantines out anew from the deaths that count. */
-  #decide(): void {
+  /** Derives the quarantines from the stored deaths and clearances. */
+  #recompute(): void {
     const deathsOf = new Map<string, number[]>();
     for (const { suspects, diedAt } of this.#deaths.values()) {
       for (const suspect of suspects) {
@@ -195,17 +199,20 @@
       }
     }
     this.#suspected = new Set(deathsOf.keys());
-    this.#until = new Map();
-    this.#heads = new Set();
+    this.#quarantinedUntil = new Map();
+    this.#quarantinedHeads = new Set();
     for (const [fingerprint, deaths] of deathsOf) {
       if (deaths.length < DEATHS_TO_QUARANTINE) continue;
-      this.#until.set(fingerprint, Math.max(...deaths) + lengthOf(fingerprint, deaths.length));
-      this.#heads.add(headOf(fingerprint));
+      this.#quarantinedUntil.set(
+        fingerprint,
+        Math.max(...deaths) + quarantineMs(fingerprint, deaths.length),
+      );
+      this.#quarantinedHeads.add(headOf(fingerprint));
     }
   }
 }
 
-function lengthOf(fingerprint: string, deaths: number): number {
-  if (!isRead(fingerprint)) return QUARANTINE_MS;
-  return Math.min(QUARANTINE_MS, READ_QUARANTINE_MS * 2 ** (deaths - DEATHS_TO_QUARANTINE));
+function quarantineMs(fingerprint: string, deaths: number): number {
+  if (!isRead(fingerprint)) return MAX_QUARANTINE_MS;
+  return Math.min(MAX_QUARANTINE_MS, MIN_READ_QUARANTINE_MS * 2 ** (deaths - DEATHS_TO_QUARANTINE));
 }
--- a/src/quarantine/request_fingerprint.ts
+++ b/src/quarantine/request_fingerprint.ts
@@ -1,21 +1,21 @@
 /**
- * What tells the request that crashes upstreams from others: `HEAD`, or `HEAD.BODY` where the body
- * tells it from others. A claim's fingerprint covers more of the body but not the upstream.
+ * Fingerprint that identifies a request which crashes upstream instances: `HEAD`, or `HEAD.BODY` if the
+ * body is needed to identify it. A claim's fingerprint covers more of the body but not the upstream.
  */
 import { createHash } from 'node:crypto';
 import { type IncomingMessage } from 'node:http';
 import { IDEMPOTENCY_KEY } from '../requests/headers.js';
 
-/** How much of a body is digested, in bytes. */
+/** Length of the part of a body that is digested, in bytes. */
 export const MAX_DIGESTED_BYTES = 4096;
 const DIGEST_LENGTH = 24;
 const READ_MARK = 'r';
 const WRITE_MARK = 'w';
 
-/** What a head is made from. */
+/** The parts of a request that its head fingerprint covers. */
 export type FingerprintedMessage = Pick<IncomingMessage, 'method' | 'url' | 'headers'>;
 
-/** The head: digest over upstream, method, path and key, marked as a read if many callers send it alike. */
+/** Digest of upstream, method, URL and idempotency key, marked as a read if many callers send it alike. */
 export function headFingerprint(
   upstream: string,
   { method, url, headers }: FingerprintedMessage,
@@ -26,23 +26,23 @@
   return (mark ? READ_MARK : WRITE_MARK) + digest(parts);
 }
 
-/** Whether the body is needed as well: it is not where a key stands for the whole request. */
+/** Whether the body is needed as well; an idempotency key identifies the request without it. */
 export function needsBody(message: Pick<FingerprintedMessage, 'headers'>): boolean {
   return message.headers[IDEMPOTENCY_KEY] === undefined && hasBody(message);
 }
 
-/** Head and digest of the beginning of the body. */
+/** Head fingerprint with a digest of the beginning of the body. */
 export function wholeFingerprint(head: string, prefix: readonly Buffer[]): string {
   const bytes = Buffer.concat(prefix).subarray(0, MAX_DIGESTED_BYTES);
   return `${head}.${digest(bytes)}`;
 }
 
-/** The head of a whole fingerprint. */
+/** The head part of a fingerprint. */
 export function headOf(fingerprint: string): string {
   return fingerprint.split('.', 1)[0]!;
 }
 
-/** Whether the request is a read without a body, which innocent callers send alike. */
+/** Whether the request is a read without a body, which many callers send alike. */
 export function isRead(fingerprint: string): boolean {
   return fingerprint.startsWith(READ_MARK);
 }
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -1,4 +1,4 @@
-/** What a guard knows of a request that an entry has handed over. */
+/** The request of an entry as its guard reads it, headers parsed. */
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Ticket } from '../admission/limit.js';
 import { type Departure } from '../admission/uplink.js';
@@ -12,43 +12,48 @@
 const DEFAULT_PRIORITY = 5;
 const MAX_PRIORITY = 9;
 
-/** The upstream instance beside this process, as it last announced itself. */
-export interface Announced extends Endpoint {
+/** The upstream instance beside this process, from its latest announcement. */
+export interface AnnouncedEndpoint extends Endpoint {
   readonly host: string;
   readonly port: number;
-  /** The id by which it knows itself. */
+  /** The id that the instance gave itself. */
   readonly id?: string | undefined;
-  /** How much longer it is slow after its start, in milliseconds; unknown when absent. */
+  /** Remaining warm-up time after its start, in milliseconds; unknown when absent. */
   readonly coldMs?: number | undefined;
 }
 
-/** A request that came from an entry. */
-export interface Admission extends Ticket {
+/** A request received from an entry. */
+export interface GuardRequest extends Ticket {
   /** Name of the route. */
   readonly kind: string;
+  /** Instant until which a response is of full use, in milliseconds since the epoch. */
   readonly targetAt: number;
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  readonly announced: Announced;
+  readonly announced: AnnouncedEndpoint;
   readonly trace: Trace;
-  /** The place of its answer on the link, if that will be heavy. */
+  /** The place reserved on the uplink for its response, if that is expected to be large. */
   departure?: Departure | undefined;
 }
 
-/** What it came with. */
-export interface Arrival extends Pick<Admission, 'request' | 'response' | 'trace'> {
-  /** In milliseconds since the epoch; what it waits from then on counts into its time. */
+/** A request as it arrived, before its headers are parsed. */
+export interface Arrival extends Pick<GuardRequest, 'request' | 'response' | 'trace'> {
+  /** Time of arrival, in milliseconds since the epoch; the remaining time in its headers counts from here. */
   readonly at: number;
 }
 
-/** Reads what the entry says of the request. */
-export function admissionOf(
+/** Parses the headers that the entry has added to the request. */
+export function guardRequestOf(
   { request, response, trace, at }: Arrival,
-  announced: Announced,
+  announced: AnnouncedEndpoint,
   configuration: Configuration,
-): Admission {
-  const remaining = within(headerOf(request, REMAINING), DEFAULT_REMAINING_MS, MAX_TIMEOUT_MS);
-  const priority = within(headerOf(request, PRIORITY), DEFAULT_PRIORITY, MAX_PRIORITY);
+): GuardRequest {
+  const remaining = parseBounded(
+    headerOf(request, REMAINING),
+    DEFAULT_REMAINING_MS,
+    MAX_TIMEOUT_MS,
+  );
+  const priority = parseBounded(headerOf(request, PRIORITY), DEFAULT_PRIORITY, MAX_PRIORITY);
   const named = headerOf(request, LIMIT);
   return {
     request,
@@ -64,7 +69,8 @@
   };
 }
 
-function within(text: string | undefined, otherwise: number, most: number): number {
+/** A number from 0 to `most`: larger ones are clamped, invalid and negative ones give `otherwise`. */
+function parseBounded(text: string | undefined, otherwise: number, most: number): number {
   const value = Number(text ?? otherwise);
   return value >= 0 ? Math.min(value, most) : otherwise;
 }
--- a/src/requests/attempts.ts
+++ b/src/requests/attempts.ts
@@ -1,4 +1,4 @@
-/** The attempts at one request: which endpoint is next, and when to give up. */
+/** The attempts for one request: chooses the next endpoint and decides when to give up. */
 import { notRun, OutcomeError, type Verdict } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Balancer } from '../placement/balancer.js';
@@ -13,57 +13,57 @@
   type RetryBudgets,
 } from '../placement/retry_budget.js';
 
-/** How long a caller is told to wait when nobody serves what it asks for, in milliseconds. */
-const NO_ENDPOINT_MS = 1_000;
+/** Retry delay sent to the caller when no endpoint serves the upstream, in milliseconds. */
+const NO_ENDPOINT_RETRY_MS = 1_000;
 const NONE_TRIED: ReadonlySet<Experience> = new Set();
-const STRENGTH: Record<Verdict, number> = { 'not-run': 0, 'may-have-run': 1, ran: 2 };
+const VERDICT_RANK: Record<Verdict, number> = { 'not-run': 0, 'may-have-run': 1, ran: 2 };
 
-/** A further attempt. */
-export interface Further {
+/** Where and when to try next. */
+export interface NextAttempt {
   readonly endpoint: Experience;
   /** In milliseconds since the epoch. */
   readonly startAt: number;
 }
 
-/** This process is the one hop that retries; a guard never does. */
+/** Only the entry retries; a guard never does. */
 export class Attempts {
-  /** Attempts that reached an upstream instance, or may have. */
-  #offers = 0;
+  /** Failed attempts that reached, or may have reached, an upstream instance. */
+  #upstreamAttempts = 0;
 
-  /** Attempts that certainly reached none. */
-  #moves = 0;
+  /** Failed attempts that certainly reached no upstream instance. */
+  #undeliveredAttempts = 0;
 
   #tried = NONE_TRIED;
 
-  /** The strongest verdict of all attempts so far. */
+  /** Strongest verdict of all attempts so far, by `VERDICT_RANK`. */
   #verdict: Verdict = 'not-run';
 
   constructor(
-    private readonly journey: Journey,
+    private readonly routed: Journey,
     private readonly body: Body,
     private readonly balancer: Balancer,
     private readonly budgets: RetryBudgets,
     private readonly clock: Clock,
   ) {}
 
-  /** The endpoint to begin with. */
+  /** The endpoint for the first attempt; throws `no-endpoint` if there is none. */
   first(): Experience {
-    const { upstream, route, awayMs } = this.journey;
+    const { upstream, route, awayMs } = this.routed;
     const endpoint = this.balancer.first(upstream, route.name, awayMs);
     if (endpoint) return endpoint;
-    const retryAt = this.clock.now() + NO_ENDPOINT_MS;
-    throw notRun('no-endpoint', `nobody serves ${upstream}`, retryAt);
+    const retryAt = this.clock.now() + NO_ENDPOINT_RETRY_MS;
+    throw notRun('no-endpoint', `no endpoint serves upstream ${upstream}`, retryAt);
   }
 
-  /** What to try after `endpoint` has failed; throws the outcome if there is nothing. */
-  next(endpoint: Experience, outcome: OutcomeError): Further {
-    this.#note(outcome);
-    if (!this.#maySend(outcome)) throw this.#giveUp(outcome, 'not-sendable');
-    const next = this.#another(endpoint, outcome.reason);
+  /** The attempt after a failure of `endpoint`; throws the final outcome if there is none. */
+  next(endpoint: Experience, outcome: OutcomeError): NextAttempt {
+    this.#record(outcome);
+    if (!this.#canSend(outcome)) throw this.#giveUp(outcome, 'not-sendable');
+    const next = this.#alternativeTo(endpoint, outcome.reason);
     if (!next) throw this.#giveUp(outcome, 'no-other-endpoint');
-    const { response, upstream, retryPercent, trace } = this.journey;
+    const { response, upstream, retryPercent, trace } = this.routed;
     const budget = this.budgets.of(upstream);
-    const failed = this.#failed(outcome);
+    const failed = this.#failedAttempt(outcome);
     const retry = budget.retry(failed, retryPercent);
     if (!retry) throw this.#giveUp(outcome, budget.denial(failed, retryPercent) ?? 'budget-spent');
     trace.note({
@@ -72,76 +72,78 @@
       isFailover: retry.isFailover,
       startMs: Math.round(retry.startAt - this.clock.now()),
     });
-    // On the answer too, whatever it will be: hops above must not retry what was retried here.
+    // Set on the response whatever its outcome: hops above must not retry a request retried here.
     if (!retry.isFailover) response.setHeader(RETRIED, '1');
     this.#tried = new Set(this.#tried).add(endpoint);
     return { endpoint: next, startAt: retry.startAt };
   }
 
-  /** Whether a request that nothing is heard of could be sent to another endpoint instead. */
-  canMoveFrom(endpoint: Experience): boolean {
-    const { upstream, isRepeatable, route } = this.journey;
-    const isAllowed = isRepeatable && this.body.isWhole && this.budgets.of(upstream).tokens >= 1;
-    if (!isAllowed || this.#offers + 1 >= (route.maxAttempts ?? MAX_ATTEMPTS)) return false;
+  /** Whether a request that `endpoint` has not acknowledged could be sent to another endpoint. */
+  canFailOverFrom(endpoint: Experience): boolean {
+    const { upstream, isRepeatable, route } = this.routed;
+    const isAllowed =
+      isRepeatable && this.body.isResendable && this.budgets.of(upstream).tokens >= 1;
+    if (!isAllowed || this.#upstreamAttempts + 1 >= (route.maxAttempts ?? MAX_ATTEMPTS))
+      return false;
     const tried = new Set(this.#tried).add(endpoint);
     return this.balancer.choose(upstream, tried) !== undefined;
   }
 
-  /** Number of the attempt that is under way, from 1. */
+  /** Number of the current attempt, from 1. */
   get number(): number {
-    return this.#offers + this.#moves + 1;
+    return this.#upstreamAttempts + this.#undeliveredAttempts + 1;
   }
 
   #giveUp(outcome: OutcomeError, denial: string): OutcomeError {
-    const { trace, upstream } = this.journey;
+    const { trace, upstream } = this.routed;
     const tokens = Math.floor(this.budgets.of(upstream).tokens);
     trace.note({ event: 'not-resent', denial, tokens });
-    return this.#final(outcome);
+    return this.#finalOutcome(outcome);
   }
 
-  #note({ verdict, reason }: OutcomeError): void {
-    if (isUnoffered({ verdict, reason })) this.#moves += 1;
-    else this.#offers += 1;
-    if (STRENGTH[verdict] > STRENGTH[this.#verdict]) this.#verdict = verdict;
+  #record({ verdict, reason }: OutcomeError): void {
+    if (isUnoffered({ verdict, reason })) this.#undeliveredAttempts += 1;
+    else this.#upstreamAttempts += 1;
+    if (VERDICT_RANK[verdict] > VERDICT_RANK[this.#verdict]) this.#verdict = verdict;
   }
 
-  #maySend({ reason }: OutcomeError): boolean {
-    const { response } = this.journey;
+  #canSend({ reason }: OutcomeError): boolean {
+    const { response } = this.routed;
     const isAwaited = !response.headersSent && !response.destroyed && reason !== 'cancelled';
-    return isAwaited && this.body.isWhole;
+    return isAwaited && this.body.isResendable;
   }
 
-  #failed({ verdict, reason }: OutcomeError): FailedAttempt {
-    const { isRepeatable, isRetriedElsewhere, deadline, route } = this.journey;
+  #failedAttempt({ verdict, reason }: OutcomeError): FailedAttempt {
+    const { isRepeatable, isRetriedElsewhere, deadline, route } = this.routed;
     return {
       maxAttempts: route.maxAttempts,
       verdict,
       reason,
-      attempts: this.#offers,
-      moves: this.#moves,
+      attempts: this.#upstreamAttempts,
+      moves: this.#undeliveredAttempts,
       repeatable: isRepeatable,
       retriedElsewhere: isRetriedElsewhere,
       deadline,
     };
   }
 
-  #another(endpoint: Experience, reason: string): Experience | undefined {
+  #alternativeTo(endpoint: Experience, reason: string): Experience | undefined {
     const tried = new Set(this.#tried).add(endpoint);
-    const { upstream, targetAt, awayMs } = this.journey;
+    const { upstream, targetAt, awayMs } = this.routed;
     if (reason === 'overloaded') {
       return this.balancer.another(upstream, tried, targetAt, awayMs > 0);
     }
     const other = this.balancer.choose(upstream, tried, awayMs);
-    // A connection that broke says little about the endpoint, if that is the only one.
+    // A broken connection need not mean a broken endpoint, so the only endpoint is tried again.
     return other ?? (reason === 'connection' ? endpoint : undefined);
   }
 
-  /** "Not run" may be said of the last attempt only if it holds for those before it too. */
-  #final(outcome: OutcomeError): OutcomeError {
+  /** The last outcome with the strongest verdict: `not-run` is reported only if it holds for all attempts. */
+  #finalOutcome(outcome: OutcomeError): OutcomeError {
     const verdict = this.#verdict;
     if (verdict === outcome.verdict) return outcome;
     const { message, reason, retryAt } = outcome;
-    const when = retryAt === undefined ? {} : { retryAt };
-    return new OutcomeError(message, { verdict, reason, ...when }, { cause: outcome });
+    const retry = retryAt === undefined ? {} : { retryAt };
+    return new OutcomeError(message, { verdict, reason, ...retry }, { cause: outcome });
   }
 }
--- a/src/requests/body.ts
+++ b/src/requests/body.ts
@@ -1,31 +1,31 @@
-/** Bodies of requests on their way to the next hop. */
+/** Request bodies as they are sent to the next hop. */
 import { type ClientRequest, type IncomingMessage } from 'node:http';
 import { pipeline, type Readable } from 'node:stream';
 import { OutcomeError } from '../contracts.js';
 import { trailersOf } from './headers.js';
 
-/** Bodies up to this size are held whole, so that they can be sent again after a `not-run`. */
-export const HELD_BYTES = 64 * 1024;
+/** Bodies up to this many bytes are buffered, so that they can be sent again after a `not-run`. */
+export const MAX_BUFFERED_BYTES = 64 * 1024;
 
 const METHODS_WITH_BODY: ReadonlySet<string> = new Set(['POST', 'PUT', 'PATCH']);
 
-/** What a request carries. */
+/** Body of a request. */
 export abstract class Body {
-  /** Headers that frame it on the wire, as names and values in turn. */
+  /** Headers that frame it on the wire, as alternating names and values. */
   abstract readonly framing: readonly string[];
 
-  /** Whether all of it is still here to be sent again. */
-  abstract readonly isWhole: boolean;
+  /** Whether the whole body is still available to be sent again. */
+  abstract readonly isResendable: boolean;
 
-  /** Sends it and ends `request`. */
+  /** Writes the body and ends `request`. */
   abstract send(request: ClientRequest): void;
 }
 
-/** No body at all. */
+/** No body. */
 export class EmptyBody extends Body {
   readonly framing: readonly string[];
 
-  readonly isWhole = true;
+  readonly isResendable = true;
 
   constructor(method = 'GET') {
     super();
@@ -37,11 +37,11 @@
   }
 }
 
-/** A small body, held in memory. */
-export class HeldBody extends Body {
+/** A small body, buffered in memory. */
+export class BufferedBody extends Body {
   readonly framing: readonly string[];
 
-  readonly isWhole = true;
+  readonly isResendable = true;
 
   constructor(private readonly bytes: Buffer) {
     super();
@@ -53,21 +53,21 @@
   }
 }
 
-/** How a body is streamed. */
+/** Options of a streamed body. */
 export interface StreamOptions {
-  /** What was read of it already. */
+  /** The chunks already read. */
   readonly prefix: readonly Buffer[];
-  /** A longer body is cut off with `body-too-large`, in bytes. */
+  /** Size limit in bytes; a longer body is cut off with `body-too-large`. */
   readonly maxBytes: number;
-  /** Holds the body back until the far end asks for it, so that a refusal leaves it untouched. */
-  readonly waits: boolean;
+  /** Waits for `100 Continue` before sending, so that the body can be resent after a refusal. */
+  readonly expectsContinue: boolean;
 }
 
-/** A body passed on as it comes in, with back-pressure; it can be sent once. */
+/** A body streamed as it arrives, with back-pressure; it can be sent only once. */
 export class StreamedBody extends Body {
   readonly framing: readonly string[];
 
-  #isPoured = false;
+  #hasStarted = false;
 
   constructor(
     private readonly source: IncomingMessage,
@@ -75,22 +75,22 @@
   ) {
     super();
     const size = framingOf(source);
-    this.framing = options.waits ? [...size, 'expect', '100-continue'] : size;
+    this.framing = options.expectsContinue ? [...size, 'expect', '100-continue'] : size;
   }
 
-  get isWhole(): boolean {
-    return !this.#isPoured;
+  get isResendable(): boolean {
+    return !this.#hasStarted;
   }
 
   send(request: ClientRequest): void {
-    if (this.options.waits) request.once('continue', () => this.#pour(request));
-    else this.#pour(request);
+    if (this.options.expectsContinue) request.once('continue', () => this.#stream(request));
+    else this.#stream(request);
   }
 
-  #pour(request: ClientRequest): void {
+  #stream(request: ClientRequest): void {
     const { prefix, maxBytes } = this.options;
     const { source } = this;
-    this.#isPoured = true;
+    this.#hasStarted = true;
     let size = 0;
     for (const chunk of prefix) {
       size += chunk.length;
@@ -99,9 +99,9 @@
     source.on('data', (chunk: Buffer) => {
       size += chunk.length;
       if (size <= maxBytes) return;
-      // The answer may be over while the caller still sends: then there is nobody left to tell.
+      // The response may have ended while the caller still sends: no error can be reported then.
       if (request.destroyed) source.destroy();
-      else request.destroy(tooLarge(maxBytes, 'may-have-run'));
+      else request.destroy(bodyTooLarge(maxBytes, 'may-have-run'));
     });
     source.once('end', () => {
       const trailers = trailersOf(source.trailers);
@@ -109,16 +109,16 @@
       request.end();
     });
     source.pipe(request, { end: false });
-    // Nobody takes the rest when the far end has answered early; the caller still sends it.
+    // After an early response nothing reads the rest of the body, which the caller still sends.
     request.once('close', () => source.resume());
   }
 }
 
-/** A body of which the beginning was looked at; it can be sent once. */
-export class OpenedBody extends Body {
+/** A body whose beginning was already read for its fingerprint; it can be sent only once. */
+export class PeekedBody extends Body {
   readonly framing: readonly string[];
 
-  readonly isWhole = false;
+  readonly isResendable = false;
 
   constructor(
     request: IncomingMessage,
@@ -129,77 +129,79 @@
   }
 
   send(request: ClientRequest): void {
-    // A body that breaks off leaves the exchange in doubt, and so does an early answer.
+    // Errors are ignored: after an aborted body or an early response the exchange reports the outcome.
     pipeline(this.source, request, () => {});
   }
 }
 
-/** Whether the message head announces a body. */
+/** Whether the message head declares a body. */
 export function hasBody({ headers }: IncomingMessage): boolean {
   return headers['transfer-encoding'] !== undefined || Number(headers['content-length'] ?? 0) > 0;
 }
 
 /**
- * Reads a body as far as it may be held. Rejects with `not-run` when it is too large, when the
- * caller breaks off, or when it is not there within `timeoutMs`.
+ * Reads a body up to `MAX_BUFFERED_BYTES`; a longer one is streamed. Rejects with `not-run` when it
+ * exceeds `maxBytes`, when the caller aborts, or when it has not arrived within `timeoutMs`.
  */
-export function takeBody(
+export function readBody(
   request: IncomingMessage,
   maxBytes: number,
   timeoutMs: number,
 ): Promise<Body> {
   const length = Number(request.headers['content-length'] ?? 0);
-  if (length > maxBytes) return Promise.reject(tooLarge(maxBytes, 'not-run'));
-  if (length > HELD_BYTES) {
-    return Promise.resolve(new StreamedBody(request, { prefix: [], maxBytes, waits: true }));
+  if (length > maxBytes) return Promise.reject(bodyTooLarge(maxBytes, 'not-run'));
+  if (length > MAX_BUFFERED_BYTES) {
+    return Promise.resolve(
+      new StreamedBody(request, { prefix: [], maxBytes, expectsContinue: true }),
+    );
   }
   return new Promise((resolve, reject) => {
     const chunks: Buffer[] = [];
     let size = 0;
-    const take = (chunk: Buffer) => {
+    const onData = (chunk: Buffer) => {
       chunks.push(chunk);
       size += chunk.length;
-      if (size > maxBytes) finish(() => reject(tooLarge(maxBytes, 'not-run')));
-      else if (size > HELD_BYTES) {
-        const body = new StreamedBody(request, { prefix: chunks, maxBytes, waits: true });
+      if (size > maxBytes) finish(() => reject(bodyTooLarge(maxBytes, 'not-run')));
+      else if (size > MAX_BUFFERED_BYTES) {
+        const body = new StreamedBody(request, { prefix: chunks, maxBytes, expectsContinue: true });
         finish(() => resolve(body));
       }
     };
-    const end = () => {
+    const onEnd = () => {
       const [first] = chunks;
       const bytes = chunks.length === 1 && first ? first : Buffer.concat(chunks);
-      finish(() => resolve(new HeldBody(bytes)));
+      finish(() => resolve(new BufferedBody(bytes)));
     };
-    const broken = () => finish(() => reject(brokenOff()));
-    const late = () => finish(() => reject(tooSlow()));
-    const timer = setTimeout(late, timeoutMs);
+    const onAborted = () => finish(() => reject(bodyAborted()));
+    const onTimeout = () => finish(() => reject(bodyTimedOut()));
+    const timer = setTimeout(onTimeout, timeoutMs);
     const finish = (settle: () => void) => {
       clearTimeout(timer);
       request.pause();
-      request.off('data', take).off('end', end).off('error', broken).off('close', broken);
+      request.off('data', onData).off('end', onEnd).off('error', onAborted).off('close', onAborted);
       settle();
     };
-    request.on('data', take).on('end', end).on('error', broken).on('close', broken);
+    request.on('data', onData).on('end', onEnd).on('error', onAborted).on('close', onAborted);
   });
 }
 
-/** How the next hop is told where the body ends: as it was told here. */
+/** Frames the body for the next hop as it was framed by the sender. */
 function framingOf(request: IncomingMessage): readonly string[] {
   const length = request.headers['content-length'];
   return length === undefined ? ['transfer-encoding', 'chunked'] : ['content-length', length];
 }
 
-function tooLarge(maxBytes: number, verdict: 'not-run' | 'may-have-run'): OutcomeError {
-  const message = `the route takes ${maxBytes} bytes of body at most`;
+function bodyTooLarge(maxBytes: number, verdict: 'not-run' | 'may-have-run'): OutcomeError {
+  const message = `request body exceeds the route's limit of ${maxBytes} bytes`;
   return new OutcomeError(message, { verdict, reason: 'body-too-large' });
 }
 
-function brokenOff(): OutcomeError {
+function bodyAborted(): OutcomeError {
   const props = { verdict: 'not-run', reason: 'bad-request' } as const;
-  return new OutcomeError('the body broke off', props);
+  return new OutcomeError('request body aborted before its end', props);
 }
 
-function tooSlow(): OutcomeError {
+function bodyTimedOut(): OutcomeError {
   const props = { verdict: 'not-run', reason: 'slow-request' } as const;
-  return new OutcomeError('the body did not come in time', props);
+  return new OutcomeError('request body not received in time', props);
 }
--- a/src/requests/dialect.ts
+++ b/src/requests/dialect.ts
@@ -1,55 +1,55 @@
-/** What callers and upstream instances speak, where it differs from deployment to deployment. */
+/** Header conventions of callers and upstream instances, where they differ between deployments. */
 import { type IncomingHttpHeaders, type IncomingMessage } from 'node:http';
 
 /**
- * What the head of an upstream instance's answer says:
+ * Kind of a response from an upstream instance, by its head:
  *
- * - `answer`: it is the answer to the request.
- * - `shed`: proof that the request was not run, for lack of room.
+ * - `answer`: the response to the request.
+ * - `shed`: proof that the request was not run, for lack of capacity.
  * - `elsewhere`: proof that it was not run, because another instance has that address now.
- * - `crossed`: it belongs to another request.
+ * - `crossed`: the response to another request.
  */
 export type Meaning = 'answer' | 'shed' | 'elsewhere' | 'crossed';
 
-/** Who an upstream instance says it is. */
+/** What an upstream instance reports about itself. */
 export interface Identity {
   readonly id: string;
   readonly slots: number;
 }
 
 export abstract class Dialect {
-  /** Headers with the internal prefix that callers may set and upstream instances get. */
+  /** Headers with the internal prefix that callers may set; they are forwarded to upstream instances. */
   abstract readonly fromCallers: ReadonlySet<string>;
 
-  /** The same, with those that the entry adds. */
+  /** The same headers and those that the entry adds. */
   abstract readonly fromEntries: ReadonlySet<string>;
 
-  /** Headers with the internal prefix that upstream instances may set and callers get. */
+  /** Headers with the internal prefix that upstream instances may set; they are forwarded to callers. */
   abstract readonly fromUpstreams: ReadonlySet<string>;
 
-  /** Whether callers may ask for a single run by an `Idempotency-Key`. */
+  /** Whether callers may send an `Idempotency-Key` to have a request run at most once. */
   abstract readonly takesKeys: boolean;
 
-  /** The caller's name for the request, by which it is found in logs. */
+  /** The caller's id for the request, used in logs. */
   abstract requestIdOf(headers: IncomingHttpHeaders): string | undefined;
 
-  /** How long the caller waits, in milliseconds; undefined if it does not say. */
+  /** The caller's timeout in milliseconds; undefined if it sends none. */
   abstract callerTimeoutMs(headers: IncomingHttpHeaders): number | undefined;
 
-  /** Headers that an entry adds for the upstream instance, as names and values in turn. */
+  /** Headers that an entry adds for the upstream instance, as alternating names and values. */
   abstract originHeaders(): readonly string[];
 
-  /** Headers that a guard adds; `endpoint` is the id under which the instance announced itself. */
+  /** Headers that a guard adds, in the same form; `endpoint` is the id that the instance announced. */
   abstract upstreamHeaders(remainingMs: number, endpoint: string | undefined): readonly string[];
 
   abstract meaningOf(request: IncomingMessage, answer: IncomingMessage): Meaning;
 
-  /** Who answers a health check, if it takes work. */
+  /** The instance that answered a health check, if it accepts work. */
   abstract identityOf(answer: IncomingMessage): Identity | undefined;
 
-  /** Whether a health check was answered by an instance that takes no work, not for lack of room. */
+  /** Whether a health check shows that the instance accepts no work, for a reason other than lack of capacity. */
   abstract declines(answer: IncomingMessage): boolean;
 
-  /** The value of `Retry-After` for a wait in milliseconds. */
+  /** The value of `Retry-After` for a delay in milliseconds. */
   abstract retryAfter(waitMs: number): string;
 }
--- a/src/requests/entry.ts
+++ b/src/requests/entry.ts
@@ -1,4 +1,4 @@
-/** Takes requests from callers and brings each to a process beside an upstream. */
+/** The proxy for callers: routes each request and forwards it to the guard of an upstream instance. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { type Configuration } from '../configuration/configuration.js';
 import { asOutcome, notRun, OutcomeError } from '../contracts.js';
@@ -7,28 +7,28 @@
 import { type Random } from '../runtime/random.js';
 import { Attempts } from './attempts.js';
 import { type Balancer } from '../placement/balancer.js';
-import { type Body, EmptyBody, hasBody, takeBody } from './body.js';
-import { Connections } from './connections.js';
+import { type Body, EmptyBody, hasBody, readBody } from './body.js';
+import { ConnectionPool } from './connections.js';
 import { type Dialect } from './dialect.js';
 import { Exchange } from './exchange.js';
 import { type Experience } from '../placement/experience.js';
 import {
-  answerHeaders,
+  responseHeaders,
   headerOf,
   LOAD,
   EXCHANGE_ID,
   RETRIED,
   SHED,
-  TOLD_TO_CALLERS,
+  CALLER_VISIBLE_HEADERS,
 } from './headers.js';
 import { handoverHeaders } from './handover.js';
-import { BOUNDS, Hostility } from './hostility.js';
-import { type Journey, journeyOf } from './journey.js';
+import { SERVER_OPTIONS, ClientErrors } from './hostility.js';
+import { type Journey, routeRequest } from './journey.js';
 import { readLoad } from '../admission/load.js';
 import { Uplink } from '../admission/uplink.js';
 import { type Quarantine } from '../quarantine/quarantine.js';
 import { refuse } from './refusal.js';
-import { refusalIn } from './relayed_refusal.js';
+import { parseGuardRefusal } from './relayed_refusal.js';
 import { headFingerprint } from '../quarantine/request_fingerprint.js';
 import { OWN_DIALECT } from './own_dialect.js';
 import { Presence } from './presence.js';
@@ -41,39 +41,39 @@
 } from '../placement/retry_budget.js';
 import { Returns } from '../placement/returns.js';
 import { Split } from '../placement/split.js';
-import { Traffic } from './traffic.js';
+import { RequestTracker } from './traffic.js';
 import { Weights } from '../placement/weights.js';
 
 const MAX_SOCKETS_PER_GUARD = 256;
-/** Time for the guard's own refusal at the deadline to come back, in milliseconds. */
-const ANSWER_GRACE_MS = 50;
+/** Time after the deadline for the guard's own refusal to arrive, in milliseconds. */
+const DEADLINE_GRACE_MS = 50;
 /**
- * A guard says at once that it has a request. A lost packet is sent again after 200 ms; what takes
- * longer than one such loss is a cut, or a process that stands still.
+ * A guard acknowledges a request at once, with `102 Processing`. A lost packet is retransmitted after
+ * 200 ms, so a longer silence means a network partition or a stalled process.
  */
-const ACKNOWLEDGE_MS = 300;
+const ACKNOWLEDGEMENT_TIMEOUT_MS = 300;
 const SERVER_ERROR = 500;
 export class Entry implements AsyncDisposable {
   readonly server: Server;
 
-  readonly traffic: Traffic;
+  readonly traffic: RequestTracker;
 
-  /** Set before the first request; the guards check again. */
+  /** Set before the first request; guards check it again, including the body. */
   quarantine: Quarantine | undefined;
 
   /** Set before the first request. */
   requestLog: RequestLog;
 
-  readonly #connections: Connections;
+  readonly #connections: ConnectionPool;
 
-  readonly #hostility: Hostility;
+  readonly #clientErrors: ClientErrors;
 
   readonly #budgets: RetryBudgets;
 
-  /** In front of the number of a request it makes its id unique. */
+  /** Prefix that makes the ids unique across processes. */
   readonly #nonce: string;
 
-  #requests = 0;
+  #issuedIds = 0;
 
   readonly #split = new Split();
 
@@ -81,8 +81,8 @@
 
   readonly #weights = new Weights();
 
-  /** Internal headers that callers get to see on answers. */
-  readonly #told: ReadonlySet<string>;
+  /** Internal headers forwarded to callers on responses. */
+  readonly #callerVisibleHeaders: ReadonlySet<string>;
 
   constructor(
     private readonly configuration: () => Configuration,
@@ -93,19 +93,19 @@
     private readonly dialect: Dialect = OWN_DIALECT,
     private readonly retries: Retries = USUAL_RETRIES,
     private readonly uplink: Uplink = new Uplink(clock),
-    private readonly presence = new Presence(clock),
+    private readonly disconnectCheck = new Presence(clock),
   ) {
     this.requestLog = silentRequests(clock);
-    this.#told = new Set([...TOLD_TO_CALLERS, ...dialect.fromUpstreams]);
+    this.#callerVisibleHeaders = new Set([...CALLER_VISIBLE_HEADERS, ...dialect.fromUpstreams]);
     this.#budgets = new RetryBudgets(clock, random, retries.allowance);
     this.#nonce = random.nonce();
-    this.#connections = new Connections(clock, MAX_SOCKETS_PER_GUARD);
+    this.#connections = new ConnectionPool(clock, MAX_SOCKETS_PER_GUARD);
     const serve = (request: IncomingMessage, response: ServerResponse) =>
       void this.#serve(request, response);
-    this.server = createServer(BOUNDS, serve);
+    this.server = createServer(SERVER_OPTIONS, serve);
     this.server.on('checkContinue', serve);
-    this.traffic = new Traffic(this.server, clock);
-    this.#hostility = new Hostility(this.server);
+    this.traffic = new RequestTracker(this.server, clock);
+    this.#clientErrors = new ClientErrors(this.server);
   }
 
   /** Retry budgets by upstream. */
@@ -114,37 +114,37 @@
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.traffic.cut();
+    this.traffic.destroyConnections();
     this.#connections.destroy();
   }
 
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (!this.traffic.enter(response)) return;
-    this.#hostility.enter(request, response);
+    if (!this.traffic.track(response)) return;
+    this.#clientErrors.track(request, response);
     const id = this.dialect.requestIdOf(request.headers) ?? this.#nextId();
     const trace = this.requestLog.begin(id);
-    let journey: Journey | undefined;
+    let routed: Journey | undefined;
     try {
-      journey = this.#route(request, response, trace);
-      const body = hasBody(request) ? await this.#take(journey) : new EmptyBody(request.method);
-      await this.#carry(journey, body);
+      routed = this.#route(request, response, trace);
+      const body = hasBody(request) ? await this.#readBody(routed) : new EmptyBody(request.method);
+      await this.#tryEndpoints(routed, body);
       trace.answered('entry-ended', response);
     } catch (error) {
       const now = this.clock.now();
       const outcome = withReturnTime(asOutcome(error), now, this.random);
       const isCut = response.headersSent;
-      if (journey?.caller) this.#returns.turnedAway(journey.caller, journey.firstAt);
+      if (routed?.caller) this.#returns.turnedAway(routed.caller, routed.firstAt);
       refuse(response, outcome, now, this.dialect);
       trace.failed('entry-ended', response, outcome, isCut);
     }
   }
 
-  /** Decides about a request that has come in; throws the refusal if it cannot be carried. */
+  /** Routes a request that has arrived; throws the refusal if it cannot be served. */
   #route(request: IncomingMessage, response: ServerResponse, trace: Trace): Journey {
-    if (!this.isReady()) throw notRun('not-ready', 'this process holds no configuration yet');
+    if (!this.isReady()) throw notRun('not-ready', 'this process has no configuration yet');
     const now = this.clock.now();
     const configuration = this.configuration();
-    const reading = {
+    const context = {
       dialect: this.dialect,
       split: this.#split,
       returns: this.#returns,
@@ -152,12 +152,12 @@
       retryPercent: this.retries.percent,
       trace,
     };
-    const journey = journeyOf(request, response, configuration, now, reading);
-    const { asked, route, upstream, deadline, firstAt, targetAt, isRepeatable } = journey;
+    const routed = routeRequest(request, response, configuration, now, context);
+    const { target, route, upstream, deadline, firstAt, targetAt, isRepeatable } = routed;
     trace.routed({
       event: 'routed',
-      method: asked.method,
-      path: asked.path,
+      method: target.method,
+      path: target.path,
       route: route.name,
       upstream,
       version: configuration.number,
@@ -166,43 +166,43 @@
       ...(firstAt < now && { waitedMs: Math.round(now - firstAt) }),
       isRepeatable,
     });
-    this.#check(journey);
-    return journey;
+    this.#checkQuarantine(routed);
+    return routed;
   }
 
-  /** Those that only their body gives away are refused by the guard. */
-  #check({ request, upstream, asked }: Journey): void {
+  /** Checks the head only: requests quarantined by their body are refused by the guard. */
+  #checkQuarantine({ request, upstream, target }: Journey): void {
     const { quarantine } = this;
     if (!quarantine || quarantine.isIdle) return;
-    const { method, url } = asked;
+    const { method, url } = target;
     quarantine.check(headFingerprint(upstream, { method, url, headers: request.headers }));
   }
 
-  async #take({ request, response, route, deadline }: Journey): Promise<Body> {
+  async #readBody({ request, response, route, deadline }: Journey): Promise<Body> {
     const { maxBodyBytes } = route;
     const isTooLarge = Number(request.headers['content-length'] ?? 0) > maxBodyBytes;
     if (request.headers.expect !== undefined && !isTooLarge) response.writeContinue();
-    const body = await takeBody(request, maxBodyBytes, deadline - this.clock.now());
-    this.#hostility.handOver(request);
+    const body = await readBody(request, maxBodyBytes, deadline - this.clock.now());
+    this.#clientErrors.markHandedOver(request);
     return body;
   }
 
-  /** Tries one endpoint after the other, as long as nothing can have run twice. */
-  async #carry(journey: Journey, body: Body): Promise<void> {
-    const attempts = new Attempts(journey, body, this.balancer, this.#budgets, this.clock);
+  /** Tries one endpoint after the other until one responds or `Attempts` allows no further attempt. */
+  async #tryEndpoints(routed: Journey, body: Body): Promise<void> {
+    const attempts = new Attempts(routed, body, this.balancer, this.#budgets, this.clock);
     let endpoint = attempts.first();
     while (true) {
-      const failure = await this.#attempt(journey, body, endpoint, attempts);
+      const failure = await this.#attempt(routed, body, endpoint, attempts);
       if (!failure) return;
-      const further = attempts.next(endpoint, failure);
-      if (further.startAt > this.clock.now()) await this.clock.sleepUntil(further.startAt);
-      endpoint = further.endpoint;
+      const nextAttempt = attempts.next(endpoint, failure);
+      if (nextAttempt.startAt > this.clock.now()) await this.clock.sleepUntil(nextAttempt.startAt);
+      endpoint = nextAttempt.endpoint;
     }
   }
 
-  /** Resolves to what went wrong, or to nothing when the caller has its answer. */
+  /** Resolves to the failure, or to undefined once the caller has its response. */
   async #attempt(
-    journey: Journey,
+    routed: Journey,
     body: Body,
     endpoint: Experience,
     attempts: Attempts,
@@ -212,8 +212,8 @@
     endpoint.inFlight += 1;
     let failure: OutcomeError | undefined;
     try {
-      failure = await this.presence.pass(journey.response, () =>
-        this.#ask(journey, body, endpoint, attempts, id),
+      failure = await this.disconnectCheck.run(routed.response, () =>
+        this.#sendTo(routed, body, endpoint, attempts, id),
       );
     } catch (error) {
       failure = asOutcome(error);
@@ -221,69 +221,69 @@
     } finally {
       endpoint.inFlight -= 1;
     }
-    if (failure) this.#noteFailed(journey, endpoint, id, failure, this.clock.now() - startedAt);
+    if (failure) this.#noteFailed(routed, endpoint, id, failure, this.clock.now() - startedAt);
     return failure;
   }
 
-  async #ask(
-    journey: Journey,
+  async #sendTo(
+    routed: Journey,
     body: Body,
     endpoint: Experience,
     attempts: Attempts,
     id: string,
   ): Promise<OutcomeError | undefined> {
     const startedAt = this.clock.now();
-    this.#noteSent(journey, endpoint, id, attempts.number);
+    this.#noteSent(routed, endpoint, id, attempts.number);
     endpoint.sent(startedAt);
-    const exchange = this.#exchange(journey, body, endpoint, id, () => {
-      this.balancer.refused(endpoint, silence(), undefined);
-      return !this.traffic.isLeaving && attempts.canMoveFrom(endpoint);
+    const exchange = this.#exchange(routed, body, endpoint, id, () => {
+      this.balancer.refused(endpoint, unacknowledged(), undefined);
+      return !this.traffic.isShuttingDown && attempts.canFailOverFrom(endpoint);
     });
-    const answer = await exchange.answer();
-    if (answer.headers[EXCHANGE_ID] !== id) throw exchange.distrust();
+    const answer = await exchange.send();
+    if (answer.headers[EXCHANGE_ID] !== id) throw exchange.abortMismatched();
     const now = this.clock.now();
     const load = readLoad(headerOf(answer, LOAD));
-    const refusal = refusalIn(answer, now);
-    if (answer.headers[RETRIED] !== undefined) journey.isRetriedElsewhere = true;
+    const refusal = parseGuardRefusal(answer, now);
+    if (answer.headers[RETRIED] !== undefined) routed.isRetriedElsewhere = true;
     if (refusal) {
-      exchange.drop(answer);
+      exchange.discard(answer);
       this.balancer.refused(endpoint, refusal, load);
       return refusal;
     }
     const status = answer.statusCode ?? SERVER_ERROR;
     this.balancer.answered(endpoint, now - startedAt, load, status >= SERVER_ERROR);
     if (answer.headers[SHED] !== undefined) this.balancer.shed(endpoint);
-    this.#budgets.of(journey.upstream).credit(journey.retryPercent);
+    this.#budgets.of(routed.upstream).credit(routed.retryPercent);
     const length = Number(answer.headers['content-length'] ?? 0);
-    this.#weights.learn(journey.route.name, length);
-    journey.response.writeHead(status, answerHeaders(answer, this.#told));
-    const bytes = await exchange.relay(answer, journey.response, this.uplink.begin(length));
-    journey.trace.relayed(bytes, this.clock.now() - now);
+    this.#weights.learn(routed.route.name, length);
+    routed.response.writeHead(status, responseHeaders(answer, this.#callerVisibleHeaders));
+    const bytes = await exchange.relay(answer, routed.response, this.uplink.begin(length));
+    routed.trace.relayed(bytes, this.clock.now() - now);
     return undefined;
   }
 
   #exchange(
-    journey: Journey,
+    routed: Journey,
     body: Body,
     endpoint: Experience,
     id: string,
     onUnacknowledged: () => boolean,
   ): Exchange {
     const { member } = endpoint;
-    const { response, asked, deadline, isRepeatable } = journey;
-    const headers = handoverHeaders(journey, id, this.dialect, this.clock);
+    const { response, target, deadline, isRepeatable } = routed;
+    const headers = handoverHeaders(routed, id, this.dialect, this.clock);
     return new Exchange(
       {
         connections: this.#connections,
         host: member.host,
         port: member.guardPort,
-        method: asked.method,
-        path: asked.url,
+        method: target.method,
+        path: target.url,
         headers,
         body,
-        deadline: deadline + ANSWER_GRACE_MS,
+        deadline: deadline + DEADLINE_GRACE_MS,
         isRepeatable,
-        acknowledgeMs: ACKNOWLEDGE_MS,
+        acknowledgementTimeoutMs: ACKNOWLEDGEMENT_TIMEOUT_MS,
         onUnacknowledged,
         caller: response,
       },
@@ -316,12 +316,13 @@
   }
 
   #nextId(): string {
-    this.#requests += 1;
-    return `${this.#nonce}-${this.#requests}`;
+    this.#issuedIds += 1;
+    return `${this.#nonce}-${this.#issuedIds}`;
   }
 }
 
-function silence(): OutcomeError {
+function unacknowledged(): OutcomeError {
   const props = { verdict: 'may-have-run', reason: 'unacknowledged' } as const;
-  return new OutcomeError('the process beside the upstream does not react', props);
+  const message = `guard did not acknowledge the request within ${ACKNOWLEDGEMENT_TIMEOUT_MS} ms`;
+  return new OutcomeError(message, props);
 }
--- a/src/requests/exchange.ts
+++ b/src/requests/exchange.ts
@@ -1,4 +1,4 @@
-/** One request and its answer over one connection, streamed both ways. */
+/** One request and its response over one connection, streamed in both directions. */
 import {
   type ClientRequest,
   type IncomingMessage,
@@ -11,208 +11,215 @@
 import { OutcomeError, type Verdict } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Body } from './body.js';
-import { type Connections } from './connections.js';
+import { type ConnectionPool } from './connections.js';
 import { trailersOf } from './headers.js';
-import { PacedAnswer } from './paced_answer.js';
+import { PacedResponse } from './paced_answer.js';
 import { isGone, whenGone } from './presence.js';
 
 /**
- * A new connection takes about a millisecond, also to another data centre. A lost packet is sent
- * again after a whole second, so waiting longer than this only holds the caller.
+ * A new connection takes about a millisecond, also to another data centre. A lost SYN is
+ * retransmitted only after a second, so a longer timeout would only delay the caller.
  */
-const CONNECT_MS = 200;
-/** An answer of which nothing has moved for this long is cut, in milliseconds. */
-export const PROGRESS_MS = 10_000;
+const CONNECT_TIMEOUT_MS = 200;
+/** A response without progress for this long is cut, in milliseconds. */
+export const PROGRESS_TIMEOUT_MS = 10_000;
 
-/** Where a request goes and what it carries. */
-export interface Outgoing {
-  readonly connections: Connections;
+/** Destination and content of a request, and its time limits. */
+export interface ExchangeOptions {
+  readonly connections: ConnectionPool;
   readonly host: string;
   readonly port: number;
   readonly method: string;
   readonly path: string;
-  /** Names and values in turn, without those that frame the body. */
+  /** Alternating names and values, without those that frame the body. */
   readonly headers: string[];
   readonly body: Body;
-  /** No head of an answer by then ends the exchange, in milliseconds since the epoch. */
+  /** Time limit for the response head, in milliseconds since the epoch. */
   readonly deadline: number;
-  /** Whether it may run twice; if not it goes only over a proved connection or a new one. */
+  /** Whether it may run twice; if not, idle connections without a recent response are not used. */
   readonly isRepeatable: boolean;
   /**
-   * How long the far end may take to say that it has the request, in milliseconds; for ever when
+   * How long the far end may take to acknowledge the request, in milliseconds; unlimited when
    * absent.
    */
-  readonly acknowledgeMs?: number;
-  /** Called when it has not said so by then; the exchange is given up if it returns true. */
+  readonly acknowledgementTimeoutMs?: number;
+  /** Called when that time has passed; the exchange is aborted if it returns true. */
   readonly onUnacknowledged?: () => boolean;
-  /** Whoever waits for the answer; when it goes away, so does the exchange. */
+  /** The response to the caller; the exchange is cancelled when the caller disconnects. */
   readonly caller: ServerResponse | undefined;
 }
 
 /**
- * Any end but a clean one destroys the connection: a late answer that came over it afterwards
- * would be taken for the answer to another request.
+ * Any end but a clean one destroys the connection: a response that arrived late on it would be taken
+ * for the response to another request.
  */
 export class Exchange {
-  /** `not-run` until a connection stands; after that the far end may have begun. */
+  /** `not-run` until the connection is established; after that the request may have run. */
   #verdict: Verdict = 'not-run';
 
   #request: ClientRequest | undefined;
 
-  #hasAnswer = false;
+  #hasResponse = false;
 
-  /** Set for an answer without a length: settles once its end is known to be one. */
-  #proof: Promise<void> | undefined;
+  /** Set for a response without framing: settles once its end is known to be clean. */
+  #endCheck: Promise<void> | undefined;
 
-  /** Why the connection broke after the head of the answer had come. */
-  #broken: OutcomeError | undefined;
+  /** The error of the request, which may occur after the response head. */
+  #failure: OutcomeError | undefined;
 
-  #timer: NodeJS.Timeout | undefined;
+  #deadlineTimer: NodeJS.Timeout | undefined;
 
-  /** Ends the wait for the answer. */
-  #abandon: (error: OutcomeError) => void = () => {};
+  /** Rejects the promise for the response head. */
+  #rejectResponse: (error: OutcomeError) => void = () => {};
 
   constructor(
-    private readonly outgoing: Outgoing,
+    private readonly options: ExchangeOptions,
     private readonly clock: Clock,
   ) {}
 
-  /** Sends the request; resolves to the answer when its head is there. */
-  answer(): Promise<IncomingMessage> {
+  /** Sends the request; resolves to the response once its head has arrived. */
+  send(): Promise<IncomingMessage> {
     return new Promise((resolve, reject) => {
-      const { outgoing } = this;
-      const { connections, host, port, method, path, body, deadline } = outgoing;
-      if (!outgoing.isRepeatable) connections.retireUnproved(host, port);
-      const headers = [...outgoing.headers, ...body.framing];
+      const { options } = this;
+      const { connections, host, port, method, path, body, deadline } = options;
+      if (!options.isRepeatable) connections.closeStale(host, port);
+      const headers = [...options.headers, ...body.framing];
       const request = httpRequest({ agent: connections, host, port, method, path, headers });
       this.#request = request;
-      this.#abandon = reject;
+      this.#rejectResponse = reject;
       const left = Math.max(0, deadline - this.clock.now());
-      this.#timer = setTimeout(() => this.#fail('deadline', 'no answer in time'), left);
-      if (outgoing.caller) whenGone(outgoing.caller, () => this.#cancel());
-      request.once('socket', (socket) => this.#watch(socket));
+      this.#deadlineTimer = setTimeout(
+        () => this.#fail('deadline', 'no response before the deadline'),
+        left,
+      );
+      if (options.caller) whenGone(options.caller, () => this.#cancel());
+      request.once('socket', (socket) => this.#onSocket(socket));
       this.#awaitAcknowledgement(request);
       request.once('response', (answer) => {
-        clearTimeout(this.#timer);
-        this.#hasAnswer = true;
-        if (!isFramed(answer)) this.#proof = proofOfEnd(answer.socket);
+        clearTimeout(this.#deadlineTimer);
+        this.#hasResponse = true;
+        if (!isFramed(answer)) this.#endCheck = checkCleanEnd(answer.socket);
         resolve(answer);
       });
       request.on('error', (cause) => {
-        this.#broken = this.#outcome(cause);
-        reject(this.#broken);
+        this.#failure = this.#toOutcome(cause);
+        reject(this.#failure);
       });
       request.once('close', () => {
-        if (!this.#hasAnswer) reject(this.#outcome(new Error('closed without an answer')));
+        if (!this.#hasResponse)
+          reject(this.#toOutcome(new Error('connection closed without a response')));
       });
       body.send(request);
     });
   }
 
   /**
-   * Streams the answer to the caller, with back-pressure. Resolves to the bytes of its body once
-   * all of it has been read; with a `departure` the rest leaves after that, as the uplink has turns
-   * for it. Rejects when the answer breaks off or nothing moves any more; the caller's connection
-   * is then to be cut, as a clean end would make a part look whole.
+   * Streams the response to the caller, with back-pressure. Resolves to the size of its body in bytes
+   * once all of it has been read; with a `departure` the rest is written after that, as the uplink
+   * schedules it. Rejects when the response is cut off or makes no progress; the caller's connection
+   * must then be destroyed, as a clean end would make a partial response look complete.
    */
   relay(answer: IncomingMessage, response: ServerResponse, departure?: Departure): Promise<number> {
     let bytes = 0;
-    const way = departure ? new PacedAnswer(response, departure) : response;
+    const sink = departure ? new PacedResponse(response, departure) : response;
     return new Promise((resolve, reject) => {
-      const silent = () => this.#fail('silent', 'the answer came to a standstill');
-      const timer = setTimeout(silent, PROGRESS_MS);
+      const onTimeout = () =>
+        this.#fail('silent', `no response progress for ${PROGRESS_TIMEOUT_MS} ms`);
+      const timer = setTimeout(onTimeout, PROGRESS_TIMEOUT_MS);
       answer.on('data', (chunk: Buffer) => {
         timer.refresh();
         bytes += chunk.length;
-        if (!way.write(chunk)) answer.pause();
+        if (!sink.write(chunk)) answer.pause();
       });
-      way.on('drain', () => {
+      sink.on('drain', () => {
         timer.refresh();
         answer.resume();
       });
       answer.once('end', () => {
         clearTimeout(timer);
-        this.#whole().then(() => {
-          this.#finish(answer, response, way);
+        this.#verifyComplete().then(() => {
+          this.#finish(answer, response, sink);
           resolve(bytes);
         }, reject);
       });
       answer.once('error', (cause) => {
         clearTimeout(timer);
-        reject(this.#outcome(cause));
+        reject(this.#toOutcome(cause));
       });
       answer.once('close', () => {
         clearTimeout(timer);
-        if (!answer.complete) reject(this.#outcome(new Error('cut')));
+        if (!answer.complete) reject(this.#toOutcome(new Error('response cut off before its end')));
       });
     });
   }
 
-  /** Awaits `reading` of the answer by somebody else, with the same progress deadline. */
-  async watch<T>(answer: IncomingMessage, reading: Promise<T>): Promise<T> {
+  /** Awaits `reading` of the response by other code, with the same progress timeout. */
+  async withProgressTimeout<T>(answer: IncomingMessage, reading: Promise<T>): Promise<T> {
     let read = answer.socket.bytesRead;
     const timer = setInterval(() => {
       const before = read;
       read = answer.socket.bytesRead;
-      if (read === before) this.#fail('silent', 'the answer came to a standstill');
-    }, PROGRESS_MS);
+      if (read === before)
+        this.#fail('silent', `no response progress for ${PROGRESS_TIMEOUT_MS} ms`);
+    }, PROGRESS_TIMEOUT_MS);
     try {
       const result = await reading;
-      await this.#whole();
+      await this.#verifyComplete();
       return result;
     } finally {
       clearInterval(timer);
     }
   }
 
-  /** Reads the rest of an answer that nobody wants, so that its connection can be used again. */
-  drop(answer: IncomingMessage): void {
+  /** Reads and discards the rest of a response, so that its connection can be reused. */
+  discard(answer: IncomingMessage): void {
     answer.on('error', () => {});
     answer.resume();
   }
 
-  /** Ends the exchange because the far end cannot be trusted. */
-  distrust(): OutcomeError {
+  /** Aborts the exchange because the response belongs to another request; returns the error. */
+  abortMismatched(): OutcomeError {
     this.#request?.destroy();
     const props = { verdict: 'may-have-run', reason: 'crossed' } as const;
-    return new OutcomeError('the answer belongs to another request', props);
+    return new OutcomeError('response belongs to another request', props);
   }
 
   /**
-   * What lies behind a cut, or at the end of a connection that has gone silent, would be waited for
-   * until the deadline. A process that lives says at once that it has the request. Only what can
-   * be sent elsewhere is given up: the process may also be busy, and answer in the end.
+   * Without acknowledgements, a request sent into a network partition or over a dead connection would
+   * wait until its deadline. A live process acknowledges at once. The exchange is aborted only if the
+   * request can be sent elsewhere: the process may also be busy, and respond in the end.
    */
   #awaitAcknowledgement(request: ClientRequest): void {
-    const { acknowledgeMs, onUnacknowledged } = this.outgoing;
-    if (acknowledgeMs === undefined) return;
+    const { acknowledgementTimeoutMs, onUnacknowledged } = this.options;
+    if (acknowledgementTimeoutMs === undefined) return;
     const timer = setTimeout(() => {
-      if (onUnacknowledged?.()) this.#fail('unacknowledged', 'the far end does not react');
-    }, acknowledgeMs);
+      const message = `request not acknowledged within ${acknowledgementTimeoutMs} ms`;
+      if (onUnacknowledged?.()) this.#fail('unacknowledged', message);
+    }, acknowledgementTimeoutMs);
     const stop = () => clearTimeout(timer);
     request.once('information', stop).once('response', stop).once('close', stop);
   }
 
-  /** Rejects if the answer that has ended is but a part of one. */
-  async #whole(): Promise<void> {
+  /** Rejects if the response ended before it was complete. */
+  async #verifyComplete(): Promise<void> {
     try {
-      await this.#proof;
+      await this.#endCheck;
     } catch (cause) {
-      this.#broken ??= this.#outcome(cause as Error);
+      this.#failure ??= this.#toOutcome(cause as Error);
     }
-    if (this.#broken) throw this.#broken;
+    if (this.#failure) throw this.#failure;
   }
 
   #cancel(): void {
-    this.#fail('cancelled', 'the caller has gone');
+    this.#fail('cancelled', 'caller disconnected');
   }
 
   /**
-   * The request may have waited for its connection, and is written in this turn or when that stands:
-   * a caller who left meanwhile is known of sooner than the end of its answer is told.
+   * The request may have waited for a free socket; it is written now, or once the socket is connected.
+   * A caller who disconnected meanwhile is detected here, before the event on its response.
    */
-  #watch(socket: Socket): void {
-    const { caller } = this.outgoing;
+  #onSocket(socket: Socket): void {
+    const { caller } = this.options;
     if (caller && isGone(caller)) {
       this.#cancel();
       return;
@@ -221,7 +228,10 @@
       this.#verdict = 'may-have-run';
       return;
     }
-    const timer = setTimeout(() => this.#fail('unreachable', 'no connection in time'), CONNECT_MS);
+    const timer = setTimeout(
+      () => this.#fail('unreachable', `no connection within ${CONNECT_TIMEOUT_MS} ms`),
+      CONNECT_TIMEOUT_MS,
+    );
     socket.once('close', () => clearTimeout(timer));
     socket.once('connect', () => {
       clearTimeout(timer);
@@ -230,25 +240,25 @@
     });
   }
 
-  #finish(answer: IncomingMessage, response: ServerResponse, way: Writable): void {
+  #finish(answer: IncomingMessage, response: ServerResponse, sink: Writable): void {
     const trailers = trailersOf(answer.trailers);
     if (trailers && response.chunkedEncoding) response.addTrailers(trailers);
-    way.end();
-    // The far end answered before it had the whole body: what it does with the rest is unknown.
+    sink.end();
+    // The far end responded before it had the whole body: what it does with the rest is unknown.
     if (!this.#request?.writableFinished) this.#request?.destroy();
   }
 
   #fail(reason: string, message: string): void {
-    clearTimeout(this.#timer);
+    clearTimeout(this.#deadlineTimer);
     if (!this.#request || this.#request.destroyed) return;
     const error = new OutcomeError(message, { verdict: this.#verdict, reason });
     this.#request.destroy(error);
-    // A request that still waits for a connection would not tell of its end.
-    this.#abandon(error);
+    // A request that still waits for a socket emits no event when it is destroyed.
+    this.#rejectResponse(error);
   }
 
-  #outcome(cause: Error): OutcomeError {
-    clearTimeout(this.#timer);
+  #toOutcome(cause: Error): OutcomeError {
+    clearTimeout(this.#deadlineTimer);
     if (cause instanceof OutcomeError) return cause;
     const verdict = this.#verdict;
     const reason = verdict === 'not-run' ? 'unreachable' : 'connection';
@@ -256,25 +266,25 @@
   }
 }
 
-const NOTHING = Buffer.alloc(0);
+const EMPTY_BUFFER = Buffer.alloc(0);
 
 function isFramed({ headers }: IncomingMessage): boolean {
   return headers['content-length'] !== undefined || headers['transfer-encoding'] !== undefined;
 }
 
 /**
- * An answer without a length ends with its connection. When that is reset right behind the data,
- * Node is told of an end and not of the error: the caller would take the part for all of it. The
- * error is still pending on the socket, and a write of nothing brings it out.
+ * A response without framing ends with its connection. If that is reset right after the data, Node
+ * reports a normal end instead of the error, and a partial response would look complete. The error is
+ * still pending on the socket, and an empty write reveals it.
  */
-function proofOfEnd(socket: Socket): Promise<void> {
-  const proof = new Promise<void>((resolve, reject) => {
+function checkCleanEnd(socket: Socket): Promise<void> {
+  const check = new Promise<void>((resolve, reject) => {
     socket.prependOnceListener('end', () => {
-      socket.write(NOTHING, (error) => (error ? reject(error) : resolve()));
+      socket.write(EMPTY_BUFFER, (error) => (error ? reject(error) : resolve()));
     });
     socket.once('close', () => resolve());
   });
-  // Whoever reads the answer to its end asks for the proof; others need not hear of it.
-  proof.catch(() => {});
-  return proof;
+  // Only a reader of the whole response awaits the check; otherwise a rejection is ignored.
+  check.catch(() => {});
+  return check;
 }
--- a/src/requests/first_look.ts
+++ b/src/requests/first_look.ts
@@ -1,39 +1,44 @@
-/** Asks the upstream instance beside a process that has just started who it is. */
+/** Identifies the upstream instance beside a process that has just started, by its health check. */
 import { type IncomingMessage, request } from 'node:http';
 import { type Dialect, type Identity } from './dialect.js';
 
 const TIMEOUT_MS = 500;
 
-export interface Place {
+export interface HealthCheckAddress {
   readonly host: string;
   readonly port: number;
   /** Path of its health check. */
   readonly path: string;
 }
 
-/** What the look has shown; neither of both if nobody answers there. */
-export interface Look {
-  /** Set if it takes work. */
+/** Result of the probe; without an identity and `false` if nothing responds there. */
+export interface UpstreamProbe {
+  /** Set if the instance accepts work. */
   readonly identity?: Identity | undefined;
-  /** Whether it says that it takes none. */
+  /** Whether the instance reports that it accepts none. */
   readonly isDeclined: boolean;
 }
 
-export async function firstLook(place: Place, dialect: Dialect): Promise<Look> {
+export async function firstLook(
+  place: HealthCheckAddress,
+  dialect: Dialect,
+): Promise<UpstreamProbe> {
   try {
-    const answer = await ask(place);
+    const answer = await fetchHealth(place);
     answer.resume();
     return { identity: dialect.identityOf(answer), isDeclined: dialect.declines(answer) };
   } catch {
-    // Nobody there yet: its first announcement will tell.
+    // Nothing listens there yet: the instance's first announcement will identify it.
     return { isDeclined: false };
   }
 }
 
-function ask({ host, port, path }: Place): Promise<IncomingMessage> {
+function fetchHealth({ host, port, path }: HealthCheckAddress): Promise<IncomingMessage> {
   return new Promise((resolve, reject) => {
     const outgoing = request({ host, port, path, agent: false, timeout: TIMEOUT_MS }, resolve);
-    outgoing.on('timeout', () => outgoing.destroy(new Error('no answer in time')));
+    outgoing.on('timeout', () =>
+      outgoing.destroy(new Error(`no response within ${TIMEOUT_MS} ms`)),
+    );
     outgoing.on('error', reject);
     outgoing.end();
   });
--- a/src/requests/guard.ts
+++ b/src/requests/guard.ts
@@ -1,17 +1,17 @@
-/** The process beside an upstream instance: all work for that instance passes here. */
+/** The proxy beside an upstream instance: all requests to that instance pass through it. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { type Readable } from 'node:stream';
 import { Configuration } from '../configuration/configuration.js';
 import { asOutcome, notRun } from '../contracts.js';
 import { type RequestLog, silentRequests } from '../logs/request_log.js';
 import { type Clock } from '../runtime/clock.js';
-import { type Body, EmptyBody, hasBody, OpenedBody, StreamedBody } from './body.js';
+import { type Body, EmptyBody, hasBody, PeekedBody, StreamedBody } from './body.js';
 import { type Claims } from '../claims/claims.js';
-import { Connections } from './connections.js';
+import { ConnectionPool } from './connections.js';
 import { type Dialect } from './dialect.js';
 import { Exchange } from './exchange.js';
 import {
-  answerHeaders,
+  responseHeaders,
   CLAIM,
   headerOf,
   IDEMPOTENCY_KEY,
@@ -26,11 +26,16 @@
   UPSTREAM,
   VERDICT,
 } from './headers.js';
-import { type Admission, admissionOf, type Announced, type Arrival } from './admission.js';
+import {
+  type GuardRequest,
+  guardRequestOf,
+  type AnnouncedEndpoint,
+  type Arrival,
+} from './admission.js';
 import { Limit, type Outcome } from '../admission/limit.js';
 import { type Load, writeLoad } from '../admission/load.js';
 import { type Departure, Uplink } from '../admission/uplink.js';
-import { type Flights } from '../quarantine/flights.js';
+import { type CrashDetector } from '../quarantine/flights.js';
 import { Weights } from '../placement/weights.js';
 import { type HeldClaim } from '../claims/held_claim.js';
 import { runOnce } from '../claims/once.js';
@@ -39,12 +44,12 @@
 import { OWN_DIALECT } from './own_dialect.js';
 import { Presence } from './presence.js';
 import { refuse } from './refusal.js';
-import { Traffic } from './traffic.js';
+import { RequestTracker } from './traffic.js';
 
-/** Connections to the upstream instance at most; it takes about 100 from everybody. */
+/** Most connections to the upstream instance, which accepts about 100 in total. */
 const MAX_CONNECTIONS = 100;
 const DEFAULT_SLOTS = 20;
-/** Entries close idle connections well before, so that none is closed under a request. */
+/** Longer than the idle timeout of entries, so that no connection is closed while a request is sent. */
 const KEEP_ALIVE_MS = 75_000;
 const SERVICE_UNAVAILABLE = 503;
 const TOO_MANY_REQUESTS = 429;
@@ -55,57 +60,57 @@
 
   readonly limit: Limit;
 
-  readonly traffic: Traffic;
+  readonly traffic: RequestTracker;
 
-  announced: Announced | undefined;
+  announced: AnnouncedEndpoint | undefined;
 
-  /** Set before the first request; without it requests with a key are refused. */
+  /** Set before the first request; without it, requests with an idempotency key are refused. */
   claims: Claims | undefined;
 
-  /** Set before the first request; without it no death is looked into and nothing kept out. */
-  flights: Flights | undefined;
+  /** Set before the first request; without it, no crash is detected and no request quarantined. */
+  crashDetector: CrashDetector | undefined;
 
   /** Set before the first request. */
   requestLog: RequestLog;
 
-  /** Set before the first request; without it nothing is counted and no version shut out. */
+  /** Set before the first request; without it, no results are counted and no version is shut out. */
   rollouts: Observer | undefined;
 
-  /** Called when the upstream instance refuses a connection: nobody listens there any more. */
+  /** Called when the upstream instance refuses a connection: nothing listens there any more. */
   onRefused: () => void = () => {};
 
-  /** Where the limits are looked up that routes name. */
+  /** The configuration in force, in which the limits of routes are looked up. */
   configuration = () => Configuration.empty;
 
-  readonly #connections: Connections;
+  readonly #connections: ConnectionPool;
 
   readonly #weights = new Weights();
 
   /** Whether this process is stopping. */
-  #isLeaving = false;
+  #isShuttingDown = false;
 
   constructor(
     private readonly clock: Clock,
     private readonly dialect: Dialect = OWN_DIALECT,
     private readonly uplink: Uplink = new Uplink(clock),
-    private readonly presence = new Presence(clock),
+    private readonly disconnectCheck = new Presence(clock),
   ) {
     this.limit = new Limit(clock, DEFAULT_SLOTS);
     this.requestLog = silentRequests(clock);
-    this.#connections = new Connections(clock, MAX_CONNECTIONS);
+    this.#connections = new ConnectionPool(clock, MAX_CONNECTIONS);
     const serve = (request: IncomingMessage, response: ServerResponse) =>
       void this.#serve(request, response);
     this.server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 }, serve);
     this.server.on('checkContinue', serve);
-    this.traffic = new Traffic(this.server, clock);
+    this.traffic = new RequestTracker(this.server, clock);
   }
 
-  /** Takes over what the upstream instance says of itself. */
-  announce(announced: Announced): void {
+  /** Applies an announcement of the upstream instance. */
+  announce(announced: AnnouncedEndpoint): void {
     const before = this.announced;
     this.announced = announced;
     this.limit.slots = announced.slots;
-    this.#weighDrain();
+    this.#updateDraining();
     const wasReady = before?.state === 'ready' || before?.state === 'draining';
     const isOther = before?.port !== announced.port || before.host !== announced.host;
     if (announced.state === 'ready' && (!wasReady || isOther)) {
@@ -113,157 +118,162 @@
     }
   }
 
-  /** As it is told to entries. */
+  /** The load reported to entries. */
   get load(): Load {
     return { ...this.limit.load, leavingMs: Math.round(this.uplink.backlogMs) };
   }
 
-  get isLeaving(): boolean {
-    return this.#isLeaving;
+  get isShuttingDown(): boolean {
+    return this.#isShuttingDown;
   }
 
-  /** This process is stopping: takes no new work, also none that waits. */
+  /** Starts the shutdown of this process: new and waiting requests are refused. */
   leave(): void {
-    this.#isLeaving = true;
-    this.#weighDrain();
+    this.#isShuttingDown = true;
+    this.#updateDraining();
     this.traffic.leave();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.traffic.cut();
+    this.traffic.destroyConnections();
     this.#connections.destroy();
   }
 
-  #weighDrain(): void {
-    this.limit.isDraining = this.#isLeaving || this.announced?.state === 'draining';
+  #updateDraining(): void {
+    this.limit.isDraining = this.#isShuttingDown || this.announced?.state === 'draining';
   }
 
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (!this.traffic.enter(response)) return;
+    if (!this.traffic.track(response)) return;
     response.writeProcessing();
     const exchange = headerOf(request, EXCHANGE_ID) ?? '';
     const trace = this.requestLog.begin(this.dialect.requestIdOf(request.headers) ?? exchange);
     try {
       const arrival = { request, response, trace, at: this.clock.now() };
-      // Before it takes a slot, which would stand idle meanwhile.
-      await this.presence.pass(response, () => this.#take(arrival));
-      trace.answered('guard-ended', response, this.#atEnd(exchange));
+      // Checked before it takes a slot, which would be idle during the check.
+      await this.disconnectCheck.run(response, () => this.#handle(arrival));
+      trace.answered('guard-ended', response, this.#hopState(exchange));
     } catch (error) {
-      if (isRefusal(error)) this.onRefused();
+      if (isConnectionRefused(error)) this.onRefused();
       const isCut = response.headersSent;
-      if (!isCut) this.#sign(request, response);
+      if (!isCut) this.#setExchangeHeaders(request, response);
       const outcome = asOutcome(error);
       refuse(response, outcome, this.clock.now());
-      trace.failed('guard-ended', response, outcome, isCut, this.#atEnd(exchange));
+      trace.failed('guard-ended', response, outcome, isCut, this.#hopState(exchange));
     }
   }
 
-  async #take(arrival: Arrival): Promise<void> {
+  async #handle(arrival: Arrival): Promise<void> {
     const { request, response } = arrival;
-    const admission = this.#admit(arrival);
+    const guardRequest = this.#parseRequest(arrival);
     const route = headerOf(request, CLAIM);
-    const opening = await this.flights?.admit(admission.announced.upstream, request, response);
-    if (route === undefined) await this.#run(admission, opening?.body ?? request);
-    else await this.#once(admission, route);
+    const opening = await this.crashDetector?.admit(
+      guardRequest.announced.upstream,
+      request,
+      response,
+    );
+    if (route === undefined) await this.#run(guardRequest, opening?.body ?? request);
+    else await this.#runOnce(guardRequest, route);
   }
 
-  async #run(admission: Admission, source: Readable, claim?: HeldClaim): Promise<void> {
-    const { flights } = this;
-    admission.departure = this.#departure(admission);
+  async #run(guardRequest: GuardRequest, source: Readable, claim?: HeldClaim): Promise<void> {
+    const { crashDetector } = this;
+    guardRequest.departure = this.#departure(guardRequest);
     const { rollouts } = this;
-    const carry = () => this.#forward(admission, source, claim);
-    const forward = rollouts ? () => rollouts.observe(admission.kind, carry) : carry;
-    const work = flights ? () => flights.watch(admission, forward) : forward;
-    // The end of a claimed request is awaited even when its caller has gone: it will ask again.
-    const passOn = claim ? work : () => this.presence.pass(admission.response, work);
+    const forward = () => this.#forward(guardRequest, source, claim);
+    const observed = rollouts ? () => rollouts.observe(guardRequest.kind, forward) : forward;
+    const work = crashDetector ? () => crashDetector.watch(guardRequest, observed) : observed;
+    // A claimed request runs to its end even if its caller has disconnected: the caller will retry.
+    const checkedWork = claim ? work : () => this.disconnectCheck.run(guardRequest.response, work);
     try {
-      await this.limit.run(admission, passOn);
+      await this.limit.run(guardRequest, checkedWork);
     } catch (error) {
-      admission.departure?.[Symbol.dispose]();
+      guardRequest.departure?.[Symbol.dispose]();
       throw error;
     }
   }
 
-  /** Its place on the link, if its answer will be heavy; throws the refusal if there is none. */
-  #departure({ kind, targetAt, deadline }: Admission): Departure | undefined {
+  /** Reserves a place on the uplink if the response is expected to be large; throws the refusal. */
+  #departure({ kind, targetAt, deadline }: GuardRequest): Departure | undefined {
     const bytes = this.#weights.heavyBytes(kind);
     if (bytes === 0) return undefined;
     return this.uplink.admit({ bytes, heldMs: this.limit.heldMsOf(kind), targetAt, deadline });
   }
 
-  async #once(admission: Admission, route: string): Promise<void> {
-    if (!this.claims) throw notRun('store-unavailable', 'this process cannot make claims');
-    const { request, response, deadline } = admission;
+  async #runOnce(guardRequest: GuardRequest, route: string): Promise<void> {
+    if (!this.claims) throw notRun('store-unavailable', 'this process does not support claims');
+    const { request, response, deadline } = guardRequest;
     const key = headerOf(request, IDEMPOTENCY_KEY) ?? '';
-    askForBody(request, response);
-    this.#sign(request, response);
+    sendContinue(request, response);
+    this.#setExchangeHeaders(request, response);
     await runOnce(this.claims, { request, response, route, key, deadline }, (source, claim) =>
-      this.#run(admission, source, claim),
+      this.#run(guardRequest, source, claim),
     );
   }
 
-  #admit(arrival: Arrival): Admission {
+  #parseRequest(arrival: Arrival): GuardRequest {
     const { request, trace } = arrival;
     const upstream = headerOf(request, UPSTREAM) ?? 'nothing';
     trace.about = { route: headerOf(request, ROUTE) ?? '', upstream };
-    return admissionOf(arrival, this.#serving(upstream), this.configuration());
+    return guardRequestOf(arrival, this.#requireEndpoint(upstream), this.configuration());
   }
 
-  #serving(upstream: string): Announced {
+  #requireEndpoint(upstream: string): AnnouncedEndpoint {
     const { announced } = this;
     if (announced?.upstream !== upstream || announced.state === 'down') {
-      throw notRun('no-endpoint', `${upstream} is not served here`);
+      throw notRun('no-endpoint', `this guard does not serve upstream ${upstream}`);
     }
-    if (this.limit.isDraining) throw notRun('draining', `${upstream} is leaving`);
-    // An entry that has not heard the verdict yet would go on giving a bad version its share.
-    if (this.rollouts?.isShut) throw notRun('draining', `${upstream} is rolled back`);
+    if (this.limit.isDraining) throw notRun('draining', `upstream ${upstream} is draining`);
+    // An entry that has not learned of the rollback yet would still send requests to the bad version.
+    if (this.rollouts?.isShut)
+      throw notRun('draining', `this version of upstream ${upstream} was rolled back`);
     return announced;
   }
 
   async #forward(
-    admission: Admission,
+    guardRequest: GuardRequest,
     source: Readable,
     claim?: HeldClaim,
   ): Promise<Outcome & Ran> {
-    const { request, response, announced } = admission;
+    const { request, response, announced } = guardRequest;
     const startedAt = this.clock.now();
-    this.#noteAdmitted(admission);
-    if (source === request) askForBody(request, response);
+    this.#noteAdmitted(guardRequest);
+    if (source === request) sendContinue(request, response);
     claim?.start();
-    const exchange = this.#exchange(admission, bodyOf(request, source), claim);
-    const answer = await exchange.answer();
-    this.#check(request, answer, exchange);
+    const exchange = this.#exchange(guardRequest, bodyOf(request, source), claim);
+    const answer = await exchange.send();
+    this.#checkResponse(request, answer, exchange);
     const headMs = this.clock.now() - startedAt;
     const status = answer.statusCode ?? SERVICE_UNAVAILABLE;
-    const isShed = hasShed(status, answer);
-    // An upstream cannot speak for barleyhaven: its own internal headers are dropped here.
-    const headers = answerHeaders(answer, this.dialect.fromUpstreams);
+    const isShed = isShedResponse(status, answer);
+    // Internal headers set by the upstream instance are dropped: only barleyhaven may set them.
+    const headers = responseHeaders(answer, this.dialect.fromUpstreams);
     headers.push(VERDICT, 'ran', EXCHANGE_ID, headerOf(request, EXCHANGE_ID) ?? '');
     headers.push(LOAD, writeLoad(this.load));
     if (isShed) headers.push(SHED, '1');
     response.writeHead(status, headers);
     if (claim) {
-      // Claimed answers are kept in the platform, so they are small.
-      admission.departure?.[Symbol.dispose]();
-      claim.settle(await exchange.watch(answer, relayAndKeep(answer, response)));
+      // Responses to claimed requests are stored in the platform, so they are small.
+      guardRequest.departure?.[Symbol.dispose]();
+      claim.settle(await exchange.withProgressTimeout(answer, relayAndKeep(answer, response)));
     } else {
       const length = Number(answer.headers['content-length'] ?? 0);
-      this.#weights.learn(admission.kind, length);
-      admission.departure = this.uplink.begin(length, admission.departure);
-      const bytes = await exchange.relay(answer, response, admission.departure);
-      admission.trace.relayed(bytes, this.clock.now() - startedAt - headMs);
+      this.#weights.learn(guardRequest.kind, length);
+      guardRequest.departure = this.uplink.begin(length, guardRequest.departure);
+      const bytes = await exchange.relay(answer, response, guardRequest.departure);
+      guardRequest.trace.relayed(bytes, this.clock.now() - startedAt - headMs);
     }
-    // An endpoint that is cold is slow whatever its version.
+    // An endpoint that is still warming up is slow whatever its version, so its time does not count.
     const tookMs = (announced.coldMs ?? 0) > 0 ? undefined : headMs;
     return { headMs, isShed, isFailure: status >= SERVER_ERROR, tookMs };
   }
 
-  #atEnd(exchange: string) {
+  #hopState(exchange: string) {
     const { inFlight, slots, waiting, leavingMs } = this.load;
     return { exchange, inFlight, slots, waiting, leavingMs };
   }
 
-  #noteAdmitted({ request, trace }: Admission): void {
+  #noteAdmitted({ request, trace }: GuardRequest): void {
     const { inFlight, slots, waiting } = this.limit.load;
     trace.note({
       event: 'admitted',
@@ -275,20 +285,20 @@
     });
   }
 
-  /** Throws if the answer is a refusal, or is not the answer to the request. */
-  #check(request: IncomingMessage, answer: IncomingMessage, exchange: Exchange): void {
-    const meaning = this.dialect.meaningOf(request, answer);
-    if (meaning === 'answer') return;
-    if (meaning === 'crossed') throw exchange.distrust();
-    exchange.drop(answer);
-    if (meaning === 'shed') throw notRun('shed', 'the upstream instance had no room');
-    // Nobody is served under that announcement any more.
+  /** Throws if the response is a refusal, or belongs to another request. */
+  #checkResponse(request: IncomingMessage, answer: IncomingMessage, exchange: Exchange): void {
+    const kind = this.dialect.meaningOf(request, answer);
+    if (kind === 'answer') return;
+    if (kind === 'crossed') throw exchange.abortMismatched();
+    exchange.discard(answer);
+    if (kind === 'shed') throw notRun('shed', 'upstream instance had no capacity');
+    // The announced instance no longer exists.
     this.onRefused();
-    throw notRun('no-endpoint', 'another instance has that address');
+    throw notRun('no-endpoint', 'another instance has the announced address');
   }
 
-  #exchange(admission: Admission, body: Body, claim: HeldClaim | undefined): Exchange {
-    const { request, response, announced, deadline } = admission;
+  #exchange(guardRequest: GuardRequest, body: Body, claim: HeldClaim | undefined): Exchange {
+    const { request, response, announced, deadline } = guardRequest;
     const { host, port, id } = announced;
     const remaining = Math.max(1, Math.floor(deadline - this.clock.now()));
     const headers = requestHeaders(request, this.dialect.fromEntries);
@@ -305,38 +315,38 @@
         body,
         deadline,
         isRepeatable: headerOf(request, REPEATABLE) !== '0',
-        // The end of a claimed request is awaited even when its caller has gone: it will ask again.
+        // A claimed request runs to its end even if its caller has disconnected: the caller will retry.
         caller: claim ? undefined : response,
       },
       this.clock,
     );
   }
 
-  /** Headers by which an entry knows that a refusal is for its request. */
-  #sign(request: IncomingMessage, response: ServerResponse): void {
+  /** Sets the headers by which an entry matches a refusal to its request, and the load. */
+  #setExchangeHeaders(request: IncomingMessage, response: ServerResponse): void {
     response.setHeader(EXCHANGE_ID, headerOf(request, EXCHANGE_ID) ?? '');
     response.setHeader(LOAD, writeLoad(this.load));
   }
 }
 
-function askForBody(request: IncomingMessage, response: ServerResponse): void {
+function sendContinue(request: IncomingMessage, response: ServerResponse): void {
   if (request.headers.expect !== undefined) response.writeContinue();
 }
 
-/** The entry has bounded the body; here it is passed on as it comes. */
+/** The entry has checked the size of the body, so it is streamed without a limit. */
 function bodyOf(request: IncomingMessage, source: Readable): Body {
   if (!hasBody(request)) return new EmptyBody(request.method);
-  if (source !== request) return new OpenedBody(request, source);
-  return new StreamedBody(request, { prefix: [], maxBytes: Infinity, waits: false });
+  if (source !== request) return new PeekedBody(request, source);
+  return new StreamedBody(request, { prefix: [], maxBytes: Infinity, expectsContinue: false });
 }
 
-function isRefusal(error: unknown): boolean {
+function isConnectionRefused(error: unknown): boolean {
   const { cause } = asOutcome(error) as { cause?: NodeJS.ErrnoException };
   return cause?.code === 'ECONNREFUSED';
 }
 
-/** An upstream instance that has no room says 429, or 503 with the time to come back. */
-function hasShed(status: number, { headers }: IncomingMessage): boolean {
+/** An upstream instance without capacity responds with 429, or with 503 and `Retry-After`. */
+function isShedResponse(status: number, { headers }: IncomingMessage): boolean {
   if (status === TOO_MANY_REQUESTS) return true;
   return status === SERVICE_UNAVAILABLE && headers[RETRY_AFTER] !== undefined;
 }
--- a/src/requests/handover.ts
+++ b/src/requests/handover.ts
@@ -1,4 +1,4 @@
-/** What an entry tells the process beside an upstream instance about a request. */
+/** Headers of a request that an entry hands over to a guard. */
 import { type Clock } from '../runtime/clock.js';
 import { type Dialect } from './dialect.js';
 import {
@@ -17,14 +17,14 @@
 } from './headers.js';
 import { type Journey } from './journey.js';
 
-/** Headers for the next hop, as names and values in turn; `id` is that of the exchange. */
+/** Headers for the guard, as alternating names and values; `id` is that of the exchange. */
 export function handoverHeaders(
-  journey: Journey,
+  routed: Journey,
   id: string,
   dialect: Dialect,
   clock: Clock,
 ): string[] {
-  const { request, route, upstream, deadline, targetAt, isRepeatable } = journey;
+  const { request, route, upstream, deadline, targetAt, isRepeatable } = routed;
   const now = clock.now();
   const remaining = Math.max(1, Math.floor(deadline - now));
   const headers = requestHeaders(request, dialect.fromCallers);
@@ -33,7 +33,7 @@
   headers.push(PRIORITY, String(route.priority), ROUTE, route.name);
   headers.push(TARGET, String(Math.floor(targetAt - now)));
   if (!isRepeatable) headers.push(REPEATABLE, '0');
-  if (isRetried(journey)) headers.push(RETRIED, '1');
+  if (isRetried(routed)) headers.push(RETRIED, '1');
   const hasKey = dialect.takesKeys && request.headers[IDEMPOTENCY_KEY] !== undefined;
   if (!isRepeatable && hasKey) headers.push(CLAIM, route.name);
   if (route.limit !== undefined) headers.push(LIMIT, route.limit);
--- a/src/requests/hostility.ts
+++ b/src/requests/hostility.ts
@@ -1,81 +1,82 @@
-/** Keeps a server for callers safe from input that is malformed, too large or too slow. */
+/** Protects a server for callers from input that is malformed, too large or too slow. */
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { type Duplex } from 'node:stream';
 import { notRun, OutcomeError } from '../contracts.js';
 import { rawRefusal, refuse } from './refusal.js';
 
-/** Time for the head of a request to arrive, in milliseconds. */
-const HEADERS_MS = 10_000;
-/** Time for a whole request to arrive, in milliseconds; the longest that a route may grant. */
-const REQUEST_MS = 300_000;
-/** How often both are checked, in milliseconds. */
-const CHECK_MS = 1_000;
+/** Time limit for receiving the head of a request, in milliseconds. */
+const HEADERS_TIMEOUT_MS = 10_000;
+/** Time limit for receiving a whole request, in milliseconds; the longest timeout a route may have. */
+const REQUEST_TIMEOUT_MS = 300_000;
+/** How often both limits are checked, in milliseconds. */
+const CHECK_INTERVAL_MS = 1_000;
 
-/** Server options that bound what a caller may send. */
-export const BOUNDS = {
-  headersTimeout: HEADERS_MS,
-  requestTimeout: REQUEST_MS,
-  connectionsCheckingInterval: CHECK_MS,
+/** Server options that limit what a caller may send. */
+export const SERVER_OPTIONS = {
+  headersTimeout: HEADERS_TIMEOUT_MS,
+  requestTimeout: REQUEST_TIMEOUT_MS,
+  connectionsCheckingInterval: CHECK_INTERVAL_MS,
   // A missing Host header is refused with a verdict, in `target.ts`.
   requireHostHeader: false,
 };
 
-/** What a parse or timeout error of the server means to the caller. */
+/** Reason and message for a parse or timeout error of the server. */
 function reasonOf(code: string | undefined): [reason: string, message: string] {
-  if (code === 'HPE_HEADER_OVERFLOW') return ['headers-too-large', 'the headers are too large'];
-  if (code === 'ERR_HTTP_REQUEST_TIMEOUT') return ['slow-request', 'the request came too slowly'];
-  return ['bad-request', 'the request is malformed'];
+  if (code === 'HPE_HEADER_OVERFLOW') return ['headers-too-large', 'request headers too large'];
+  if (code === 'ERR_HTTP_REQUEST_TIMEOUT') return ['slow-request', 'request not received in time'];
+  return ['bad-request', 'malformed HTTP request'];
 }
 
-/** A request that has not been answered yet. */
-interface InHand {
+/** The latest request of a connection. */
+interface PendingRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  /** Whether the next hop may have begun with it. */
+  /** Whether the next hop may have started to process it. */
   isHandedOver: boolean;
 }
 
-/** Answers to everything that the server itself finds wrong. */
-export class Hostility {
-  readonly #inHand = new WeakMap<Duplex, InHand>();
+/** Responds to errors that the HTTP server itself detects in what a caller sends. */
+export class ClientErrors {
+  readonly #pending = new WeakMap<Duplex, PendingRequest>();
 
   constructor(server: Server) {
     server.on('clientError', (error, socket) => this.#refuse(error, socket));
     server.on('connect', (_, socket) => {
-      socket.end(rawRefusal(notRun('bad-request', 'tunnels are not offered')));
+      socket.end(rawRefusal(notRun('bad-request', 'CONNECT tunnels are not supported')));
     });
     server.on('checkExpectation', (_: IncomingMessage, response: ServerResponse) => {
-      const error = notRun('expectation-failed', 'this expectation cannot be met');
+      const error = notRun('expectation-failed', 'unsupported Expect header');
       refuse(response, error, 0);
     });
   }
 
-  /** Notes that the connection of `request` has one in hand. */
-  enter(request: IncomingMessage, response: ServerResponse): void {
-    this.#inHand.set(request.socket, { request, response, isHandedOver: false });
+  /** Records `request` as the latest one of its connection. */
+  track(request: IncomingMessage, response: ServerResponse): void {
+    this.#pending.set(request.socket, { request, response, isHandedOver: false });
   }
 
-  /** Notes that the next hop may begin with it. */
-  handOver({ socket }: IncomingMessage): void {
-    const inHand = this.#inHand.get(socket);
-    if (inHand) inHand.isHandedOver = true;
+  /** Records that the next hop may start to process the request. */
+  markHandedOver({ socket }: IncomingMessage): void {
+    const pending = this.#pending.get(socket);
+    if (pending) pending.isHandedOver = true;
   }
 
   /**
-   * What is malformed may follow a request that is already running. A refusal written now would be
-   * taken for the answer to that one, and its "not run" would be false: the connection is cut. If
-   * it is the body of the request itself, the verdict depends on whether that was handed over.
+   * Malformed input may follow a request that is already running. A refusal written now would be
+   * taken for the response to that request, and its `not-run` would be false, so the connection is
+   * destroyed. In the body of the request itself, the verdict depends on whether it was handed over.
    */
   #refuse(error: NodeJS.ErrnoException, socket: Duplex): void {
-    const inHand = this.#inHand.get(socket);
-    const isRunning = inHand && !inHand.response.writableFinished && !inHand.response.destroyed;
-    const isAnotherOne = isRunning && (inHand.request.complete || inHand.response.headersSent);
-    if (isAnotherOne || !socket.writable || error.code === 'ECONNRESET') {
+    const pending = this.#pending.get(socket);
+    const isRunning = pending && !pending.response.writableFinished && !pending.response.destroyed;
+    const followsRunningRequest =
+      isRunning && (pending.request.complete || pending.response.headersSent);
+    if (followsRunningRequest || !socket.writable || error.code === 'ECONNRESET') {
       socket.destroy();
       return;
     }
     const [reason, message] = reasonOf(error.code);
-    const verdict = isRunning && inHand.isHandedOver ? 'may-have-run' : 'not-run';
+    const verdict = isRunning && pending.isHandedOver ? 'may-have-run' : 'not-run';
     const outcome = new OutcomeError(message, { verdict, reason });
     socket.end(rawRefusal(outcome), () => socket.destroy());
   }
--- a/src/requests/journey.ts
+++ b/src/requests/journey.ts
@@ -1,4 +1,4 @@
-/** One caller's request, and what was decided about it when it came in. */
+/** A caller's request with its routing decision. */
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Configuration } from '../configuration/configuration.js';
 import { notRun, type Route } from '../contracts.js';
@@ -9,70 +9,70 @@
 import { type Caller, type Returns } from '../placement/returns.js';
 import { type Split } from '../placement/split.js';
 import { type Weights } from '../placement/weights.js';
-import { type Asked, askedBy } from './target.js';
+import { type RequestTarget, parseTarget } from './target.js';
 
-/** It keeps the version of the configuration that it began with. */
+/** A routed request; it keeps the version of the configuration in force at its arrival. */
 export interface Journey {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
-  readonly asked: Asked;
+  readonly target: RequestTarget;
   readonly route: Route;
-  /** Who asks; absent if it does not say how long it waits. */
+  /** Identity of the caller; undefined if it sends no timeout. */
   readonly caller: Caller | undefined;
-  /** When that caller asked first, in milliseconds since the epoch. */
+  /** Time of the caller's first attempt, in milliseconds since the epoch. */
   readonly firstAt: number;
-  /** The one of the route's upstreams that is to run it. */
+  /** The upstream chosen among those of the route. */
   readonly upstream: string;
-  /** How much sooner another data centre must answer to be asked, in milliseconds. */
+  /** How much sooner another data centre must be expected to respond to be chosen, in milliseconds. */
   readonly awayMs: number;
   /** In milliseconds since the epoch. */
   readonly deadline: number;
-  /** Until when an answer is of full use to the caller, in milliseconds since the epoch. */
+  /** Instant until which a response is of full use to the caller, in milliseconds since the epoch. */
   readonly targetAt: number;
   /** Whether it may run twice. */
   readonly isRepeatable: boolean;
-  /** Retries allowed, as a percentage of answered requests. */
+  /** Allowed retries, as a percentage of answered requests. */
   readonly retryPercent: number;
   readonly trace: Trace;
-  /** Whether a hop above or below has retried it. */
+  /** Whether another hop, above or below, has retried it. */
   isRetriedElsewhere: boolean;
 }
 
-/** What a request is read with. */
-export interface Reading {
+/** What `routeRequest` needs besides the request and the configuration. */
+export interface RoutingContext {
   readonly dialect: Dialect;
   readonly split: Split;
   readonly returns: Returns;
   readonly weights: Weights;
-  /** Retries for routes without a limit, as a percentage of answered requests. */
+  /** Allowed retries for routes without a limit, as a percentage of answered requests. */
   readonly retryPercent: number;
   readonly trace: Trace;
 }
 
-/** Decides about a request; throws `not-run` if it cannot be carried. */
-export function journeyOf(
+/** Routes a request and sets its time limits; throws `not-run` if it cannot be served. */
+export function routeRequest(
   request: IncomingMessage,
   response: ServerResponse,
   configuration: Configuration,
   now: number,
-  { dialect, split, returns, weights, retryPercent, trace }: Reading,
+  { dialect, split, returns, weights, retryPercent, trace }: RoutingContext,
 ): Journey {
-  const asked = askedBy(request);
-  const route = routeOf(configuration, asked);
-  if (!route) throw notRun('no-route', `no route for ${asked.method} ${asked.path}`);
+  const target = parseTarget(request);
+  const route = routeOf(configuration, target);
+  if (!route) throw notRun('no-route', `no route for ${target.method} ${target.path}`);
   if (route.requireKey && request.headers[IDEMPOTENCY_KEY] === undefined) {
-    throw notRun('key-required', 'this route insists on an Idempotency-Key');
+    throw notRun('key-required', `route ${route.name} requires an Idempotency-Key header`);
   }
   const waitMs = dialect.callerTimeoutMs(request.headers);
   const deadline = now + Math.min(waitMs ?? route.timeoutMs, route.timeoutMs);
-  const caller = waitMs === undefined ? undefined : callerOf(asked, now + waitMs);
+  const caller = waitMs === undefined ? undefined : callerOf(target, now + waitMs);
   const firstAt = caller ? returns.firstAt(caller, now) : now;
   const targetAt = firstAt + (route.targetMs ?? route.timeoutMs);
   const limit = route.limit === undefined ? undefined : configuration.find('limit', route.limit);
   return {
     request,
     response,
-    asked,
+    target,
     route,
     caller,
     firstAt,
@@ -80,13 +80,13 @@
     awayMs: weights.awayMs(route.name),
     deadline,
     targetAt: Math.min(targetAt, deadline),
-    isRepeatable: isRepeatable(route, asked.method),
+    isRepeatable: isRepeatable(route, target.method),
     retryPercent: limit?.retryPercent ?? retryPercent,
     trace,
     isRetriedElsewhere: request.headers[RETRIED] !== undefined,
   };
 }
 
-function callerOf({ method, host, url }: Asked, givesUpAt: number): Caller {
+function callerOf({ method, host, url }: RequestTarget, givesUpAt: number): Caller {
   return { asks: `${method} ${host}${url}`, givesUpAt };
 }
--- a/src/requests/own_dialect.ts
+++ b/src/requests/own_dialect.ts
@@ -1,14 +1,14 @@
-/** What the product speaks by itself, as `docs/OPERATORS.md` tells it. */
+/** The default header conventions, documented in `docs/OPERATORS.md`. */
 import { type IncomingHttpHeaders } from 'node:http';
 import { Dialect, type Meaning } from './dialect.js';
-import { CALLER_REQUEST_ID, CALLER_TIMEOUT, headerOf, NONE, RETRIED } from './headers.js';
+import { CALLER_REQUEST_ID, CALLER_TIMEOUT, headerOf, NO_HEADERS, RETRIED } from './headers.js';
 
 const MS_PER_SECOND = 1000;
 
-export class OwnDialect extends Dialect {
-  readonly fromCallers = NONE;
+export class DefaultDialect extends Dialect {
+  readonly fromCallers = NO_HEADERS;
 
-  readonly fromEntries = NONE;
+  readonly fromEntries = NO_HEADERS;
 
   readonly fromUpstreams: ReadonlySet<string> = new Set([RETRIED]);
 
@@ -31,7 +31,7 @@
     return [CALLER_TIMEOUT, String(remainingMs)];
   }
 
-  /** An upstream that refuses for lack of room may still have run part of the work. */
+  /** A refusal for lack of capacity proves nothing here: part of the work may have run. */
   meaningOf(): Meaning {
     return 'answer';
   }
@@ -44,10 +44,10 @@
     return false;
   }
 
-  /** Whole seconds, as HTTP has it. */
+  /** Whole seconds, as HTTP requires, and at least one. */
   retryAfter(waitMs: number): string {
     return String(Math.max(1, Math.ceil(waitMs / MS_PER_SECOND)));
   }
 }
 
-export const OWN_DIALECT = new OwnDialect();
+export const OWN_DIALECT = new DefaultDialect();
--- a/src/requests/presence.ts
+++ b/src/requests/presence.ts
@@ -1,113 +1,113 @@
-/** Passes requests on in short turns, each after a look whether its caller is still there. */
+/** Starts the work of requests in short batches, after checking that their callers are connected. */
 import { type ServerResponse } from 'node:http';
 import { notRun } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 
-/** How long requests are passed on at least before callers are looked at anew, in milliseconds. */
-const TURN_MS = 25;
-/** How long at most: so much older is what is known of the last of them. */
-const LONGEST_TURN_MS = 150;
-/** What was seen of a caller so short a time ago still holds, in milliseconds. */
-const FRESH_MS = 10;
-
-/** A request that waits for a look. */
-interface Waiting {
-  /** The first turn of which the look tells whether its caller is there. */
-  readonly turn: number;
-  readonly begin: () => void;
+/** Least time a batch may take before connections are read again, in milliseconds. */
+const MIN_BATCH_MS = 25;
+/** Most time a batch may take, in milliseconds: the check of its last request is that much older. */
+const MAX_BATCH_MS = 150;
+/** A caller seen to be connected this recently is not checked again, in milliseconds. */
+const RECENTLY_SEEN_MS = 10;
+
+/** A request that waits for the check. */
+interface QueuedRequest {
+  /** Number of the first batch before which its connection has been read again. */
+  readonly batch: number;
+  readonly start: () => void;
 }
 
 /**
- * Node reads the request first and the end of the connection right behind it a turn of its loop later.
- * A process that was late, paused or has just started would pass on what callers gave up long ago:
- * upstreams would work for nobody. Here each request waits until its connection has been read once
- * more, which is soon in a process that is in time. One that is late passes requests on for as long
- * as it has just read: what it knows of callers does not grow old, and nobody waits for its reading.
+ * Node reads a request first, and the end of its connection one iteration of the event loop later. A
+ * process that lags, was paused or has just started would forward requests whose callers gave up long
+ * ago, and upstreams would work for nobody. So each request waits until its connection has been read
+ * once more, which is soon in a process that keeps up. In one that lags, a batch may take as long as
+ * the reading before it: its knowledge of callers stays fresh, and reading does not hold up requests.
  */
 export class Presence {
-  #turn = 0;
+  #batch = 0;
 
-  /** Instant at which the last turn ended, and the reading of connections began. */
-  #lookedAt = 0;
+  /** Instant at which the last batch ended and Node began to read connections again. */
+  #lastBatchEndedAt = 0;
 
-  #isTurning = false;
+  #isScheduled = false;
 
-  #line: Waiting[] = [];
+  #queue: QueuedRequest[] = [];
 
-  /** When the caller of an answer was last seen to be there. */
-  readonly #seenAt = new WeakMap<ServerResponse, number>();
+  /** Instant at which the caller of a response was last seen to be connected. */
+  readonly #lastSeenAt = new WeakMap<ServerResponse, number>();
 
   constructor(private readonly clock: Clock) {}
 
   /**
-   * Begins `work` once its caller is known to be there; rejects with `not-run` if it has gone. Called
-   * when a request has come in, and again wherever it is passed on after a wait.
+   * Starts `work` once its caller is known to be connected; rejects with `not-run` if it is not.
+   * Called when a request has arrived, and again wherever it is forwarded after a wait.
    *
    * @example
    * ```ts
-   * await presence.pass(response, () => ask(endpoint));
+   * await disconnectCheck.run(response, () => sendTo(endpoint));
    * ```
    */
-  pass<T>(response: ServerResponse, work: () => Promise<T>): Promise<T> {
+  run<T>(response: ServerResponse, work: () => Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
-      const begin = () => {
-        this.#seenAt.set(response, this.clock.now());
-        if (isGone(response)) reject(notRun('cancelled', 'the caller has gone'));
+      const start = () => {
+        this.#lastSeenAt.set(response, this.clock.now());
+        if (isGone(response)) reject(notRun('cancelled', 'caller disconnected'));
         else work().then(resolve, reject);
       };
-      const seenAt = this.#seenAt.get(response);
-      if (seenAt !== undefined && this.clock.now() - seenAt <= FRESH_MS) begin();
-      else this.#wait(begin, seenAt === undefined);
+      const lastSeenAt = this.#lastSeenAt.get(response);
+      if (lastSeenAt !== undefined && this.clock.now() - lastSeenAt <= RECENTLY_SEEN_MS) start();
+      else this.#enqueue(start, lastSeenAt === undefined);
     });
   }
 
-  /** A connection of which the request has just been read has to be read once more first. */
-  #wait(begin: () => void, isNew: boolean): void {
-    this.#line.push({ turn: this.#turn + (isNew ? 2 : 1), begin });
-    this.#turnSoon();
+  /** A connection whose request has just been read must be read once more than others. */
+  #enqueue(start: () => void, isNew: boolean): void {
+    this.#queue.push({ batch: this.#batch + (isNew ? 2 : 1), start });
+    this.#schedule();
   }
 
-  #turnSoon(): void {
-    if (this.#isTurning) return;
-    this.#isTurning = true;
-    setImmediate(() => this.#look());
+  #schedule(): void {
+    if (this.#isScheduled) return;
+    this.#isScheduled = true;
+    setImmediate(() => this.#runBatch());
   }
 
-  /** Runs right after connections have been read. */
-  #look(): void {
-    this.#isTurning = false;
-    this.#turn += 1;
+  /** Runs right after Node has read the connections. */
+  #runBatch(): void {
+    this.#isScheduled = false;
+    this.#batch += 1;
     const now = this.clock.now();
-    const readMs = now - this.#lookedAt;
-    this.#begin(now + Math.min(LONGEST_TURN_MS, Math.max(TURN_MS, readMs)));
-    this.#lookedAt = this.clock.now();
-    if (this.#line.length > 0) this.#turnSoon();
+    const elapsedMs = now - this.#lastBatchEndedAt;
+    this.#startQueued(now + Math.min(MAX_BATCH_MS, Math.max(MIN_BATCH_MS, elapsedMs)));
+    this.#lastBatchEndedAt = this.clock.now();
+    if (this.#queue.length > 0) this.#schedule();
   }
 
-  /** Those whose connections have been read since they came, in their order, as long as there is time. */
-  #begin(until: number): void {
-    const begun = new Set<Waiting>();
-    for (const waiting of this.#line.filter(({ turn }) => turn <= this.#turn)) {
+  /** Starts the requests whose connections have been read again, in order, until the time is used up. */
+  #startQueued(until: number): void {
+    const started = new Set<QueuedRequest>();
+    for (const queued of this.#queue.filter(({ batch }) => batch <= this.#batch)) {
       if (this.clock.now() >= until) break;
-      begun.add(waiting);
-      waiting.begin();
+      started.add(queued);
+      queued.start();
     }
-    // What has begun may have put others in line.
-    this.#line = this.#line.filter((waiting) => !begun.has(waiting));
+    // The started work may have queued further requests.
+    this.#queue = this.#queue.filter((queued) => !started.has(queued));
   }
 }
 
-/** Emitted by an answer when its caller ends the connection, some turns of the loop before `close`. */
+/** Emitted by a response when its caller ends the connection, some event loop iterations before `close`. */
 export const GONE = 'gone';
 
-/** Whether nobody waits for the answer any more. */
+/** Whether the caller that waits for the response has disconnected. */
 export function isGone({ destroyed, req }: ServerResponse): boolean {
   return destroyed || req.socket.destroyed || req.socket.readableEnded;
 }
 
 /**
- * Calls back, perhaps twice, when nobody waits for the answer any more; at once if that is so
- * already, since an answer that has closed does not say so again.
+ * Calls back, possibly twice, when the caller disconnects; at once if it already has, since a closed
+ * response emits no further event.
  */
 export function whenGone(response: ServerResponse, callback: () => void): void {
   if (isGone(response)) {
--- a/src/requests/refusal.ts
+++ b/src/requests/refusal.ts
@@ -1,11 +1,11 @@
-/** Answers to requests that barleyhaven itself has to end. */
+/** Responses to requests that barleyhaven refuses itself. */
 import { type IncomingMessage, type ServerResponse, STATUS_CODES } from 'node:http';
 import { OutcomeError, type Verdict } from '../contracts.js';
 import { type Dialect } from './dialect.js';
 import { REASON, RETRY_AFTER, VERDICT } from './headers.js';
 import { OWN_DIALECT } from './own_dialect.js';
 
-/** Status by reason; anything else is a 502, or a 503 if it is sure not to have run. */
+/** Status by reason; for other reasons 503 if the request has certainly not run, otherwise 502. */
 const STATUS: Readonly<Record<string, number>> = {
   'no-route': 404,
   'bad-request': 400,
@@ -29,12 +29,12 @@
 };
 const BAD_GATEWAY = 502;
 const SERVICE_UNAVAILABLE = 503;
-/** Statuses by which callers may take a request for not run. */
-const PROMISES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
-/** How long the rest of a refused body is read and dropped, in milliseconds. */
+/** Statuses from which callers may conclude that the request was not run. */
+const NOT_RUN_STATUSES: ReadonlySet<number> = new Set([408, 421, 429, 503]);
+/** How long the rest of a refused body is read and discarded, in milliseconds. */
 const LINGER_MS = 1_000;
 
-/** What callers get as JSON with every refusal. */
+/** JSON body of every refusal to a caller. */
 export interface RefusalBody {
   readonly verdict: Verdict;
   readonly reason: string;
@@ -42,8 +42,8 @@
 }
 
 /**
- * Ends a request with a refusal. Once the answer has begun it can only be cut: the connection is
- * destroyed, because a clean end would make a part look whole.
+ * Ends a request with a refusal. If the response has already begun, the connection is destroyed
+ * instead, because a clean end would make a partial response look complete.
  */
 export function refuse(
   response: ServerResponse,
@@ -57,7 +57,7 @@
     return;
   }
   const body = bodyOf(error);
-  // Set one by one, because the meter reads them back and `writeHead` alone would not keep them.
+  // Set one by one: the request meter reads them back, and `writeHead` would not keep them.
   for (const [name, value] of Object.entries(headersOf(error, body, now, dialect))) {
     response.setHeader(name, value);
   }
@@ -69,7 +69,7 @@
   linger(request, response, body);
 }
 
-/** A refusal as bytes for a connection on which there is no response object. */
+/** A refusal as raw HTTP, for a connection without a response object. */
 export function rawRefusal(error: OutcomeError): string {
   const body = bodyOf(error);
   const status = statusOf(error);
@@ -79,8 +79,8 @@
 }
 
 /**
- * Were the connection closed while the caller still sends its body, the caller's system would
- * throw away the refusal that it has not read yet. So the rest is read and dropped, for a while.
+ * If the connection were closed while the caller still sends its body, the caller's system would
+ * discard the refusal before it is read. So the rest is read and discarded, for up to `LINGER_MS`.
  */
 function linger(request: IncomingMessage, response: ServerResponse, body: string): void {
   response.write(body);
@@ -92,12 +92,12 @@
 }
 
 /**
- * The reason tells of the last attempt, the verdict of all of them. A request that may have run at
- * an earlier one must not get a status that callers take for leave to send it again.
+ * The reason is that of the last attempt, the verdict covers all of them. A request that may have run
+ * in an earlier one must not get a status from which callers conclude that it is safe to resend.
  */
 function statusOf({ reason, verdict }: OutcomeError): number {
   const status = STATUS[reason] ?? (verdict === 'not-run' ? SERVICE_UNAVAILABLE : BAD_GATEWAY);
-  return PROMISES.has(status) && verdict !== 'not-run' ? BAD_GATEWAY : status;
+  return NOT_RUN_STATUSES.has(status) && verdict !== 'not-run' ? BAD_GATEWAY : status;
 }
 
 function bodyOf({ verdict, reason, message }: OutcomeError): string {
--- a/src/requests/return_time.ts
+++ b/src/requests/return_time.ts
@@ -1,12 +1,12 @@
-/** When a caller who was not served is told to come back. */
+/** The time after which a refused caller should retry. */
 import { OutcomeError } from '../contracts.js';
 import { type Random } from '../runtime/random.js';
 
-/** Where nothing better is known, in milliseconds. */
-const RETRY_MS = 250;
-/** Part of the wait by which the returns of callers are spread. */
+/** Retry delay for refusals without one, in milliseconds. */
+const DEFAULT_RETRY_MS = 250;
+/** Share of the delay by which retries of callers are spread out. */
 const RETRY_SPREAD = 0.3;
-/** Reasons for which to come back is of no use, or has its own time. */
+/** Reasons for which a retry is of no use, or which set their own time. */
 const FINAL: ReadonlySet<string> = new Set([
   'no-route',
   'bad-request',
@@ -18,9 +18,9 @@
   'quarantined',
 ]);
 
-/** Adds the time to a refusal that may end well later; not the same instant for all. */
+/** Adds a retry time, with jitter, to a refusal that a later attempt may avoid. */
 export function withReturnTime(outcome: OutcomeError, now: number, random: Random): OutcomeError {
-  const { verdict, reason, retryAt = now + RETRY_MS, message } = outcome;
+  const { verdict, reason, retryAt = now + DEFAULT_RETRY_MS, message } = outcome;
   if (verdict !== 'not-run' || FINAL.has(reason)) return outcome;
   const spread = random.jitter(Math.max(0, retryAt - now) * RETRY_SPREAD);
   return new OutcomeError(message, { verdict, reason, retryAt: retryAt - spread });
--- a/src/requests/router.ts
+++ b/src/requests/router.ts
@@ -4,7 +4,7 @@
 import { type Route } from '../contracts.js';
 import { firstIndex } from '../runtime/search.js';
 
-/** What routing looks at. */
+/** The parts of a request that decide its route. */
 export interface Target {
   readonly method: string;
   /** In lower case, without port. */
@@ -13,26 +13,26 @@
   readonly headers: IncomingHttpHeaders;
 }
 
-/** Routes by first path segment, each list in order of specificity. */
-interface Table {
+/** Routes by first path segment, each list ordered by specificity. */
+interface RouteTable {
   readonly bySegment: ReadonlyMap<string, readonly Route[]>;
-  /** Those whose prefix is `/`: they cover segments that no other route names. */
+  /** Routes with the prefix `/`, for segments that no other route names. */
   readonly others: readonly Route[];
 }
 
-/** Tables by host; `anyHost` holds the routes that name none. */
-interface Compiled {
-  /** All routes in order of specificity. */
+/** Tables by host; `anyHost` holds the routes without a host. */
+interface CompiledRoutes {
+  /** All routes, ordered by specificity. */
   readonly sorted: readonly Route[];
-  readonly byHost: ReadonlyMap<string, Table>;
-  readonly anyHost: Table;
+  readonly byHost: ReadonlyMap<string, RouteTable>;
+  readonly anyHost: RouteTable;
 }
 
 const COMPILED = Symbol('compiled routes');
-/** Routes that are new up to which each is put in its place; beyond, all are sorted again. */
-const FEW_ROUTES = 64;
-/** Hosts that change up to which only their tables are made anew. */
-const FEW_HOSTS = 8;
+/** Up to this many new routes are inserted one by one; for more, all routes are sorted again. */
+const MAX_INSERTED_ROUTES = 64;
+/** Up to this many changed hosts, only their tables are rebuilt; for more, all are. */
+const MAX_REBUILT_HOSTS = 8;
 const REPEATABLE_METHODS: ReadonlySet<string> = new Set([
   'GET',
   'HEAD',
@@ -42,25 +42,25 @@
 ]);
 
 /**
- * The route for a request: the most specific one that matches. A host goes before none, then the
- * longer prefix, then more header conditions, then a method list, then the name.
+ * The most specific route that matches a request. Specificity is decided by: a host before none, the
+ * longer path prefix, more header conditions, a method list before none, the name in order.
  */
 export function routeOf(configuration: Configuration, target: Target): Route | undefined {
-  const { byHost, anyHost } = compiled(configuration);
+  const { byHost, anyHost } = compiledRoutes(configuration);
   const { bySegment, others } = byHost.get(target.host) ?? anyHost;
   const routes = bySegment.get(firstSegment(target.path)) ?? others;
   return routes.find((route) => matches(route, target));
 }
 
-/** Whether a request of that method may be run twice under the route. */
+/** Whether a request with that method may run twice under the route. */
 export function isRepeatable(route: Route, method: string): boolean {
   return route.repeatable ?? REPEATABLE_METHODS.has(method);
 }
 
-function compiled(configuration: Configuration): Compiled {
-  const known = configuration.derived.get(COMPILED) as Compiled | undefined;
+function compiledRoutes(configuration: Configuration): CompiledRoutes {
+  const known = configuration.derived.get(COMPILED) as CompiledRoutes | undefined;
   if (known) return known;
-  const earlier = configuration.earlier(COMPILED) as Compiled | undefined;
+  const earlier = configuration.earlier(COMPILED) as CompiledRoutes | undefined;
   const routes = [...configuration.all('route')];
   const fresh = earlier ? recompile(earlier, routes) : compile(routes.sort(bySpecificity));
   configuration.derived.set(COMPILED, fresh);
@@ -68,33 +68,34 @@
 }
 
 /**
- * A version that changes one route of thousands costs a pass, and the table of one host. Each host
- * costs a pass more, so where many change the tables of all are made anew, in one.
+ * Compiles a version from the one before it. Changing one route of thousands takes one pass and the
+ * table of one host. Each changed host takes another pass, so if many change, all tables are rebuilt
+ * in a single pass.
  */
-function recompile(earlier: Compiled, routes: readonly Route[]): Compiled {
-  const before = new Set(earlier.sorted);
-  const now = new Set(routes);
-  const gone = earlier.sorted.filter((route) => !now.has(route));
-  const added = routes.filter((route) => !before.has(route));
-  if (gone.length + added.length === 0) return earlier;
-  const kept = earlier.sorted.filter((route) => now.has(route));
-  const sorted = merged(kept, added);
-  const hosts = new Set([...gone, ...added].map(hostOf));
-  // Routes without a host stand in the tables of all hosts.
-  if (hosts.has(undefined) || hosts.size > FEW_HOSTS) return compile(sorted);
+function recompile(earlier: CompiledRoutes, routes: readonly Route[]): CompiledRoutes {
+  const previous = new Set(earlier.sorted);
+  const current = new Set(routes);
+  const removed = earlier.sorted.filter((route) => !current.has(route));
+  const added = routes.filter((route) => !previous.has(route));
+  if (removed.length + added.length === 0) return earlier;
+  const kept = earlier.sorted.filter((route) => current.has(route));
+  const sorted = mergeSorted(kept, added);
+  const hosts = new Set([...removed, ...added].map(hostOf));
+  // Routes without a host are in the tables of all hosts.
+  if (hosts.has(undefined) || hosts.size > MAX_REBUILT_HOSTS) return compile(sorted);
   const byHost = new Map(earlier.byHost);
-  const ofAny = sorted.filter(({ host }) => host === undefined);
+  const hostless = sorted.filter(({ host }) => host === undefined);
   for (const host of hosts) {
     const own = sorted.filter((route) => hostOf(route) === host);
     if (own.length === 0) byHost.delete(host!);
-    else byHost.set(host!, tableOf([...own, ...ofAny]));
+    else byHost.set(host!, buildTable([...own, ...hostless]));
   }
   return { sorted, byHost, anyHost: earlier.anyHost };
 }
 
-/** Routes in order of specificity, with some more in their places among them. */
-function merged(sorted: readonly Route[], added: readonly Route[]): Route[] {
-  if (added.length > FEW_ROUTES) return [...sorted, ...added].sort(bySpecificity);
+/** Adds routes to a list ordered by specificity. */
+function mergeSorted(sorted: readonly Route[], added: readonly Route[]): Route[] {
+  if (added.length > MAX_INSERTED_ROUTES) return [...sorted, ...added].sort(bySpecificity);
   const all = [...sorted];
   for (const route of added) {
     const place = firstIndex(all.length, (index) => bySpecificity(all[index]!, route) >= 0);
@@ -107,27 +108,27 @@
   return host?.toLowerCase();
 }
 
-function compile(sorted: readonly Route[]): Compiled {
-  const ofHost = new Map<string, Route[]>();
-  const ofAny: Route[] = [];
+function compile(sorted: readonly Route[]): CompiledRoutes {
+  const routesByHost = new Map<string, Route[]>();
+  const hostless: Route[] = [];
   for (const route of sorted) {
     const host = hostOf(route);
-    if (host === undefined) ofAny.push(route);
-    else listIn(ofHost, host, []).push(route);
+    if (host === undefined) hostless.push(route);
+    else getOrCreateList(routesByHost, host, []).push(route);
   }
-  const byHost = new Map<string, Table>();
-  // Routes that name a host are the more specific ones, so the others come behind them.
-  for (const [host, own] of ofHost) byHost.set(host, tableOf([...own, ...ofAny]));
-  return { sorted, byHost, anyHost: tableOf(ofAny) };
+  const byHost = new Map<string, RouteTable>();
+  // Routes with a host are more specific, so those without one follow them.
+  for (const [host, own] of routesByHost) byHost.set(host, buildTable([...own, ...hostless]));
+  return { sorted, byHost, anyHost: buildTable(hostless) };
 }
 
-/** One pass: a version that changes one route of thousands must not hold up requests. */
-function tableOf(routes: readonly Route[]): Table {
+/** Builds a table in one pass: a version that changes one route of thousands must not delay requests. */
+function buildTable(routes: readonly Route[]): RouteTable {
   const others: Route[] = [];
   const bySegment = new Map<string, Route[]>();
   for (const route of routes) {
     const segment = firstSegment(route.pathPrefix);
-    if (segment !== '') listIn(bySegment, segment, others).push(route);
+    if (segment !== '') getOrCreateList(bySegment, segment, others).push(route);
     else {
       for (const list of bySegment.values()) list.push(route);
       others.push(route);
@@ -136,11 +137,15 @@
   return { bySegment, others };
 }
 
-/** The list of a key; it begins with what is in `before`. */
-function listIn(lists: Map<string, Route[]>, key: string, before: readonly Route[]): Route[] {
+/** The list of a key; a new one starts with the routes in `initial`. */
+function getOrCreateList(
+  lists: Map<string, Route[]>,
+  key: string,
+  initial: readonly Route[],
+): Route[] {
   let list = lists.get(key);
   if (!list) {
-    list = [...before];
+    list = [...initial];
     lists.set(key, list);
   }
   return list;
@@ -165,16 +170,16 @@
   return Object.keys(route.headers ?? {}).length;
 }
 
-/** Whether the route covers the target; its host has been looked at already. */
+/** Whether the route matches the target; its host has been checked before. */
 function matches(route: Route, { method, path, headers }: Target): boolean {
-  if (!underPrefix(path, route.pathPrefix)) return false;
+  if (!hasPathPrefix(path, route.pathPrefix)) return false;
   if (route.methods && !route.methods.includes(method)) return false;
   if (!route.headers) return true;
   return Object.entries(route.headers).every(([name, value]) => headers[name] === value);
 }
 
-/** `/menus` covers `/menus` and `/menus/today`, not `/menuscript`. */
-function underPrefix(path: string, prefix: string): boolean {
+/** Whether the prefix covers the path: `/menus` covers `/menus` and `/menus/today`, not `/menuscript`. */
+function hasPathPrefix(path: string, prefix: string): boolean {
   if (!path.startsWith(prefix)) return false;
   return path.length === prefix.length || prefix.endsWith('/') || path[prefix.length] === '/';
 }
--- a/src/requests/target.ts
+++ b/src/requests/target.ts
@@ -1,30 +1,31 @@
-/** What a caller asks for, read from the head of its request. */
+/** Parses the target of a request from its head. */
 import { type IncomingMessage } from 'node:http';
 import { notRun } from '../contracts.js';
 import { type Target } from './router.js';
 
-/** A target together with the form of it that goes to the next hop. */
-export interface Asked extends Target {
+/** A target with the form in which it is sent to the next hop. */
+export interface RequestTarget extends Target {
   /** Path and query. */
   readonly url: string;
 }
 
-/** Dot segments, also encoded, and what servers read differently from each other. */
+/** Dot segments, also percent-encoded, and characters that servers interpret differently. */
 const AMBIGUOUS = /(?:^|\/)(?:\.|%2e){1,2}(?:\/|$)|[\\#]|%00|%5c/i;
 const ABSOLUTE = /^http:\/\/([^/?#]+)(.*)$/i;
 
 /**
- * Reads the target. Throws `not-run` for requests that two servers could read differently: with
- * dot segments a request would match one route here and be served as another by the upstream;
- * with two hosts it would be routed by one of them and served under the other.
+ * Parses the target. Throws `not-run` for requests that two servers could interpret differently: with
+ * dot segments, a request would match one route here and be served as another by the upstream; with
+ * two hosts, it would be routed by one of them and served under the other.
  */
-export function askedBy(request: IncomingMessage): Asked {
+export function parseTarget(request: IncomingMessage): RequestTarget {
   const { method = 'GET', headers } = request;
-  if (headers.upgrade !== undefined) throw notRun('bad-request', 'upgrades are not offered');
+  if (headers.upgrade !== undefined) throw notRun('bad-request', 'upgrades are not supported');
   const { authority, url } = originForm(request);
   const mark = url.indexOf('?');
   const path = mark < 0 ? url : url.slice(0, mark);
-  if (AMBIGUOUS.test(path)) throw notRun('bad-request', 'the path is ambiguous');
+  if (AMBIGUOUS.test(path))
+    throw notRun('bad-request', 'path contains dot segments, a backslash, # or NUL');
   const host = authority.replace(/:\d+$/, '').toLowerCase();
   return { method, path, url, headers, host };
 }
@@ -33,11 +34,15 @@
   const { url = '/' } = request;
   const authority = hostOf(request);
   if (url.startsWith('/')) return { authority, url };
-  const [, named, rest] = ABSOLUTE.exec(url) ?? [];
-  if (named === undefined) throw notRun('bad-request', 'the target is not a path');
-  // The upstream gets the Host header, so it has to say the same.
-  if (named.toLowerCase() !== authority.toLowerCase()) {
-    throw notRun('bad-request', 'the target names another host than the Host header');
+  const [, targetAuthority, rest] = ABSOLUTE.exec(url) ?? [];
+  if (targetAuthority === undefined)
+    throw notRun('bad-request', 'request target is neither a path nor an http:// URL');
+  // The upstream receives the Host header, so both must name the same host.
+  if (targetAuthority.toLowerCase() !== authority.toLowerCase()) {
+    throw notRun(
+      'bad-request',
+      `host of the request target, ${targetAuthority}, differs from the Host header, ${authority}`,
+    );
   }
   return { authority, url: rest?.startsWith('/') ? rest : `/${rest ?? ''}` };
 }
@@ -49,6 +54,7 @@
     if (name.length === 4 && name.toLowerCase() === 'host') hosts += 1;
   }
   const isMissing = hosts === 0 && httpVersionMinor > 0;
-  if (hosts > 1 || isMissing) throw notRun('bad-request', 'one Host header is needed');
+  if (hosts > 1 || isMissing)
+    throw notRun('bad-request', `exactly one Host header is required, got ${hosts}`);
   return headers.host ?? '';
 }
--- a/src/requests/traffic.ts
+++ b/src/requests/traffic.ts
@@ -1,119 +1,120 @@
-/** What a server has in hand, and how it stops without cutting any of it. */
+/** Counts the requests of a server that are in flight, and shuts it down without cutting them off. */
 import { type Server, type ServerResponse } from 'node:http';
 import { type Duplex } from 'node:stream';
 import { type Clock } from '../runtime/clock.js';
 import { GONE } from './presence.js';
 
-/** How often is looked whether everything has been answered, in milliseconds. */
-const LOOK_EVERY_MS = 10;
+/** How often the count is checked during a shutdown, in milliseconds. */
+const POLL_INTERVAL_MS = 10;
 
-export class Traffic {
+export class RequestTracker {
   #inFlight = 0;
 
-  /** The answer to the latest request of each connection. */
-  readonly #latest = new WeakMap<Duplex, ServerResponse>();
+  /** The response to the latest request of each connection. */
+  readonly #latestByConnection = new WeakMap<Duplex, ServerResponse>();
 
-  /** Answers of each connection that are not wholly written. */
-  readonly #unfinished = new WeakMap<Duplex, Set<ServerResponse>>();
+  /** The responses of each connection that are not completely written. */
+  readonly #unfinishedByConnection = new WeakMap<Duplex, Set<ServerResponse>>();
 
-  #isLeaving = false;
+  #isShuttingDown = false;
 
   constructor(
     private readonly server: Server,
     private readonly clock: Clock,
   ) {}
 
-  /** Requests whose answer is not wholly written yet. */
+  /** Number of requests whose response is not completely written yet. */
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  get isLeaving(): boolean {
-    return this.#isLeaving;
+  get isShuttingDown(): boolean {
+    return this.#isShuttingDown;
   }
 
   /**
-   * Counts a request until its answer is wholly written or its connection is gone. False if an
-   * answer before it on its connection ends that connection: it will never be answered, so it
+   * Counts a request until its response is completely written or its connection has closed. Returns
+   * false if an earlier response ends the connection: the request would never get a response, so it
    * must not run.
    */
-  enter(response: ServerResponse): boolean {
+  track(response: ServerResponse): boolean {
     this.#inFlight += 1;
     const { socket } = response.req;
-    const before = this.#latest.get(socket);
+    const before = this.#latestByConnection.get(socket);
     const isOpen = before !== undefined && !before.writableFinished && !before.destroyed;
-    if (isOpen && before.headersSent && isLast(before)) {
+    if (isOpen && before.headersSent && endsConnection(before)) {
       this.#inFlight -= 1;
       return false;
     }
-    // Only the latest of several requests on a connection may end it.
+    // Only the response to the latest request on a connection may end it.
     if (isOpen && !before.headersSent) before.removeHeader('connection');
-    this.#latest.set(socket, response);
+    this.#latestByConnection.set(socket, response);
     const unfinished = this.#unfinishedOf(socket);
     unfinished.add(response);
     response.once('close', () => {
       this.#inFlight -= 1;
       unfinished.delete(response);
     });
-    if (this.#isLeaving) response.setHeader('connection', 'close');
+    if (this.#isShuttingDown) response.setHeader('connection', 'close');
     return true;
   }
 
   /**
-   * Node tells only the answer whose turn it is that the connection has ended. Those behind it would
-   * count for ever: their requests would run on for nobody, and a stop would take all the time it has.
+   * On the end of a connection, Node notifies only the response being written. Pipelined ones behind
+   * it would count for ever: their requests would run on for nobody, and a shutdown would always last
+   * until its deadline.
    */
   #unfinishedOf(socket: Duplex): Set<ServerResponse> {
-    let unfinished = this.#unfinished.get(socket);
+    let unfinished = this.#unfinishedByConnection.get(socket);
     if (!unfinished) {
       unfinished = new Set();
-      this.#unfinished.set(socket, unfinished);
+      this.#unfinishedByConnection.set(socket, unfinished);
       const all = unfinished;
-      // The server answers nothing more on a connection that its caller has ended.
+      // The server sends no further responses on a connection that its caller has ended.
       socket.once('end', () => {
         for (const response of [...all]) if (!response.writableEnded) response.emit(GONE);
       });
       socket.once('close', () => {
-        for (const response of [...all]) if (response.socket === null) abandon(response);
+        for (const response of [...all]) if (response.socket === null) closeUnsent(response);
       });
     }
     return unfinished;
   }
 
-  /** From now on each answer asks the other end to close its connection. */
+  /** From now on, each response asks the other end to close its connection. */
   leave(): void {
-    this.#isLeaving = true;
+    this.#isShuttingDown = true;
   }
 
-  /** Takes no new connections and closes those that stand idle. */
+  /** Accepts no new connections and closes idle ones. */
   close(): void {
     this.server.close();
   }
 
-  /** Resolves when nothing is in flight, or at the deadline; true if nothing was left. */
+  /** Resolves when no request is in flight, or at the deadline; true if none was left. */
   async finish(deadline: number): Promise<boolean> {
     while (this.#inFlight > 0) {
       const now = this.clock.now();
       if (now >= deadline) return false;
-      await this.clock.sleepUntil(Math.min(deadline, now + LOOK_EVERY_MS));
+      await this.clock.sleepUntil(Math.min(deadline, now + POLL_INTERVAL_MS));
     }
     return true;
   }
 
-  /** Stops at once: whatever is still open is cut. */
-  cut(): void {
+  /** Stops at once and destroys all open connections. */
+  destroyConnections(): void {
     this.server.close();
     this.server.closeAllConnections();
   }
 }
 
-/** Ends an answer that never had its turn; Node itself only marks it. */
-function abandon(response: ServerResponse): void {
+/** Closes a response that was still queued; Node only marks it as destroyed and emits no `close`. */
+function closeUnsent(response: ServerResponse): void {
   response.destroy();
   response.emit('close');
 }
 
-/** Whether the connection ends with that answer. */
-function isLast(response: ServerResponse): boolean {
+/** Whether the connection ends after that response. */
+function endsConnection(response: ServerResponse): boolean {
   return response.getHeader('connection') === 'close';
 }
--- a/src/test/quarantine/flights_test.ts
+++ b/src/test/quarantine/flights_test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { ask, type Answer } from '../../bench/caller.js';
 import { type Bulletin, type EndpointState } from '../../contracts.js';
-import { Flights } from '../../quarantine/flights.js';
+import { CrashDetector } from '../../quarantine/flights.js';
 import { Guard } from '../../requests/guard.js';
 import { Quarantine } from '../../quarantine/quarantine.js';
 import { MachineClock } from '../../runtime/clock.js';
@@ -14,45 +14,45 @@
 const POISON = 'seat=poison';
 const INNOCENT = 'seat=12';
 
-/** A guard with its upstream instance, which a poisonous body kills. */
-interface Station {
+/** A guard with its upstream instance, which crashes on the body `POISON`. */
+interface GuardedUpstream {
   readonly port: number;
   readonly quarantine: Quarantine;
-  /** Resolves when a request has arrived that the upstream does not answer. */
+  /** Resolves when the upstream has received a request that it does not respond to. */
   readonly slowArrived: Promise<void>;
   readonly announce: (state: EndpointState) => void;
 }
 
-describe('Flights', () => {
+describe('CrashDetector', () => {
   let owned: Ownership;
-  let stations: Station[];
+  let guards: GuardedUpstream[];
   let published: (() => void) | undefined;
   let beforeDeath: () => void;
 
   beforeEach(() => {
     owned = new Ownership();
-    stations = [];
+    guards = [];
     beforeDeath = () => {};
   });
 
   afterEach(() => owned[Symbol.asyncDispose]());
 
-  /** Stations that hear each other's bulletins at once. */
-  async function open(count: number): Promise<void> {
-    for (let index = 0; index < count; index++) stations.push(await station(index));
+  /** Starts guards whose quarantines exchange bulletins at once. */
+  async function startGuards(count: number): Promise<void> {
+    for (let index = 0; index < count; index++) guards.push(await startGuard(index));
   }
 
-  async function station(index: number): Promise<Station> {
+  async function startGuard(index: number): Promise<GuardedUpstream> {
     let arrived = () => {};
     const slowArrived = new Promise<void>((resolve) => {
       arrived = resolve;
     });
-    const upstream = mortal(() => arrived());
+    const upstream = crashingUpstream(() => arrived());
     const upstreamPort = await listen(upstream);
     owned.use({ [Symbol.asyncDispose]: () => shut(upstream) });
     const guard = owned.use(new Guard(clock));
-    const quarantine = new Quarantine(clock, new SeededRandom(index), flood);
-    guard.flights = new Flights(quarantine, clock);
+    const quarantine = new Quarantine(clock, new SeededRandom(index), broadcast);
+    guard.crashDetector = new CrashDetector(quarantine, clock);
     const announce = (state: EndpointState) => {
       const endpoint = { upstream: 'bookings', state, slots: 8 };
       guard.announce({ ...endpoint, host: LOOPBACK, port: upstreamPort });
@@ -61,13 +61,13 @@
     return { port: await listen(guard.server), quarantine, slowArrived, announce };
   }
 
-  function flood(bulletin: Bulletin): void {
-    for (const { quarantine } of stations) quarantine.merge(bulletin);
+  function broadcast(bulletin: Bulletin): void {
+    for (const { quarantine } of guards) quarantine.merge(bulletin);
     published?.();
   }
 
-  /** Answers, waits or dies, as the body says. */
-  function mortal(arrived: () => void): Server {
+  /** An upstream that responds, hangs or crashes, depending on the body. */
+  function crashingUpstream(arrived: () => void): Server {
     const server = createServer((request, response) => {
       const chunks: Buffer[] = [];
       request.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -83,13 +83,13 @@
     return server;
   }
 
-  function book({ port }: Pick<Station, 'port'>, body: string): Promise<Answer> {
+  function book({ port }: Pick<GuardedUpstream, 'port'>, body: string): Promise<Answer> {
     const headers = { 'barleyhaven-upstream': 'bookings', 'barleyhaven-remaining-ms': '5000' };
     return ask({ port, path: '/seats', method: 'POST', headers, body });
   }
 
-  /** Sends the poison and waits until the death is known. */
-  async function kill(target: Station): Promise<string> {
+  /** Sends the poison request and waits until the death is known. */
+  async function crashUpstream(target: GuardedUpstream): Promise<string> {
     const known = new Promise<void>((resolve) => {
       published = resolve;
     });
@@ -103,48 +103,42 @@
     return `${String(verdict)} ${String(reason)}`;
   }
 
-  /*
-   * A booking crashes two upstreams, one after the other. Its caller sees may-have-run twice; the
-   * third time it is refused before it reaches the third upstream, which lives on and books others.
-   */
-  it('keeps a request with a poisonous body from the third upstream', async () => {
-    await open(3);
-    const [first, second, third] = stations;
-    const seen = [await kill(first!), await kill(second!)];
+  // Guards against a booking that crashes one upstream after the other: after two deaths it is refused
+  // before it reaches the third, which goes on with others.
+  it('refuses a request with a crashing body before it reaches a third upstream', async () => {
+    await startGuards(3);
+    const [first, second, third] = guards;
+    const seen = [await crashUpstream(first!), await crashUpstream(second!)];
     seen.push(verdictOf(await book(third!, POISON)), verdictOf(await book(third!, INNOCENT)));
     expect(seen).toMatchSnapshot();
   });
 
-  /*
-   * The upstream is leaving and finishes its last requests when one of them kills it. That is a
-   * death like any other: without it, each upstream of a rolling restart could die unnoticed.
-   */
-  it('counts a death during a drain, with all that was in flight', async () => {
-    await open(2);
-    const [leaving, other] = stations;
+  // Guards against a crash that goes unnoticed because its upstream is draining: in a rolling restart
+  // that could happen to each one.
+  it('records a death during draining with all requests in flight', async () => {
+    await startGuards(2);
+    const [leaving, other] = guards;
     const slow = book(leaving!, 'slow');
     await leaving!.slowArrived;
     beforeDeath = () => leaving!.announce('draining');
-    await kill(leaving!);
+    await crashUpstream(leaving!);
     expect(verdictOf(await slow)).to.match(/^may-have-run/);
-    const [death] = other!.quarantine.bulletin().deaths;
+    const [death] = other!.quarantine.snapshot().deaths;
     expect(death!.suspects).to.have.length(2);
   });
 
-  /*
-   * The upstream closes one connection under a request and goes on. The caller sees may-have-run,
-   * but nobody died: a new connection is taken, and nothing is suspected.
-   */
-  it('takes a broken connection alone for no death', async () => {
-    await open(1);
+  // Guards against suspicion for a single closed connection: the caller sees may-have-run, but a new
+  // connection is accepted, so nothing has crashed.
+  it('does not take a broken connection alone for a crash', async () => {
+    await startGuards(1);
     const quarantine = new Quarantine(clock, new SeededRandom(1), () => {});
     let probed = 0;
-    const flights = new Flights(quarantine, clock, async () => {
+    const flights = new CrashDetector(quarantine, clock, async () => {
       probed += 1;
       return false;
     });
     const breaking = new Guard(clock);
-    owned.use(breaking).flights = flights;
+    owned.use(breaking).crashDetector = flights;
     const upstream = createServer((request) => request.socket.destroy());
     const port = await listen(upstream);
     owned.use({ [Symbol.asyncDispose]: () => shut(upstream) });
--- a/src/test/requests/acknowledgement_test.ts
+++ b/src/test/requests/acknowledgement_test.ts
@@ -2,10 +2,10 @@
 import { expect } from 'chai';
 import { Ownership } from '../../runtime/ownership.js';
 import { listen, shut } from '../../standins/listen.js';
-import { memberOf, Path } from './path.js';
+import { memberOf, TestPath } from './path.js';
 
-/** A process that takes requests and never says a word, as behind a cut. */
-async function addSilent(path: Path, owned: Ownership): Promise<{ requests: number }> {
+/** An endpoint whose guard accepts requests and never responds, as behind a network partition. */
+async function addSilentEndpoint(path: TestPath, owned: Ownership): Promise<{ requests: number }> {
   const seen = { requests: 0 };
   const server = createServer(() => {
     seen.requests += 1;
@@ -23,34 +23,34 @@
 }
 
 describe('acknowledgements', () => {
-  // One of two processes has gone silent. A guest's request that reaches it would be waited for
-  // until its deadline; it may run twice, so it is sent to the other one after a moment.
-  it('sends what may run twice elsewhere when a process does not react', async () => {
+  // Guards against a repeatable request waiting until its deadline for a guard that has gone silent
+  // while another one could serve it.
+  it('fails a repeatable request over to another guard when one does not acknowledge it', async () => {
     await using owned = new Ownership();
-    await using path = await Path.start(1);
-    const seen = await addSilent(path, owned);
+    await using path = await TestPath.start(1);
+    const seen = await addSilentEndpoint(path, owned);
     while (seen.requests === 0) {
       const answer = await path.ask({ path: '/menus/1', headers: { 'x-request': 'a' } });
       expect(answer.status).to.equal(200);
     }
   });
 
-  // The only process is slow to react, and nobody else serves the request. Given up, it would be
-  // answered 502 at once; it is waited for instead, until its deadline.
-  it('waits for a process that does not react when there is no other', async () => {
+  // Guards against a 502 for a request whose only guard is slow: without an alternative, it must wait
+  // until its deadline.
+  it('waits until the deadline for an unresponsive guard when there is no other', async () => {
     await using owned = new Ownership();
-    await using path = await Path.start(0);
-    await addSilent(path, owned);
+    await using path = await TestPath.start(0);
+    await addSilentEndpoint(path, owned);
     const startedAt = path.clock.now();
     const answer = await path.ask({ path: '/menus/1', headers: { 'request-timeout-ms': '700' } });
     expect([answer.status, path.clock.now() - startedAt >= 690]).to.deep.equal([504, true]);
   });
 
-  // The silent process may have begun with a booking. It is not sent anywhere else.
-  it('sends a booking to one process only', async () => {
+  // Guards against a booking that runs twice: the silent guard may have started it.
+  it('does not resend a non-repeatable request that was not acknowledged', async () => {
     await using owned = new Ownership();
-    await using path = await Path.start(1);
-    const seen = await addSilent(path, owned);
+    await using path = await TestPath.start(1);
+    const seen = await addSilentEndpoint(path, owned);
     const headers = { 'x-request': 'booking', 'request-timeout-ms': '600' };
     while (seen.requests === 0) {
       const before = path.runs('booking');
--- a/src/test/requests/exchange_test.ts
+++ b/src/test/requests/exchange_test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { type OutcomeError } from '../../contracts.js';
 import { EmptyBody } from '../../requests/body.js';
-import { Connections } from '../../requests/connections.js';
+import { ConnectionPool } from '../../requests/connections.js';
 import { Exchange } from '../../requests/exchange.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { listen, LOOPBACK, shut } from '../../standins/listen.js';
@@ -10,7 +10,7 @@
 const clock = new MachineClock();
 const TIMEOUT_MS = 1_000;
 
-/** A caller of whom the end of the connection can be seen, and not yet that of the answer. */
+/** A caller whose connection has ended before its response emits an event. */
 function caller() {
   const socket = { destroyed: false, readableEnded: false };
   const response = { destroyed: false, req: { socket }, once: () => response };
@@ -25,7 +25,7 @@
       response.end('done');
     });
     const port = await listen(server);
-    const connections = new Connections(clock, 1);
+    const connections = new ConnectionPool(clock, 1);
     const { socket, response } = caller();
     socket.readableEnded = leaves === 'before';
     const exchange = new Exchange(
@@ -43,11 +43,11 @@
       },
       clock,
     );
-    const answer = exchange.answer().then(
+    const answer = exchange.send().then(
       (head) => `answered ${head.statusCode}`,
       ({ verdict, reason }: OutcomeError) => `${verdict} ${reason}`,
     );
-    // The request has its socket by then, which does not stand yet.
+    // By now the request has its socket, which is not connected yet.
     await Promise.resolve().then(() => Promise.resolve());
     if (leaves === 'while it connects') socket.readableEnded = true;
     const outcome = await answer;
@@ -56,8 +56,8 @@
     return [outcome, arrived];
   }
 
-  // Guards against work for a caller who left while its request waited for a connection.
-  it('sends nothing for a caller who has left by the time it could', async () => {
+  // Guards against work for a caller who disconnected while its request waited for a connection.
+  it('sends nothing for a caller who disconnected before the request could be written', async () => {
     expect(await outcomeOf('before')).to.deep.equal(['not-run cancelled', 0]);
     expect(await outcomeOf('while it connects')).to.deep.equal(['not-run cancelled', 0]);
     expect(await outcomeOf('never')).to.deep.equal(['answered 200', 1]);
--- a/src/test/requests/faults_test.ts
+++ b/src/test/requests/faults_test.ts
@@ -2,12 +2,12 @@
 import * as fc from 'fast-check';
 import { expect } from 'chai';
 import { type ConductName } from '../../standins/upstream_conduct.js';
-import { type Answer, Path } from './path.js';
+import { type Answer, TestPath } from './path.js';
 
 const SEED = 3;
 const RUNS = 25;
 
-interface Asked {
+interface GeneratedRequest {
   readonly conduct: ConductName;
   readonly path: '/menus/1' | '/seats/1' | '/short';
   readonly bytes: number;
@@ -24,7 +24,7 @@
   'twice',
   'early',
 );
-const asked: fc.Arbitrary<Asked> = fc.record({
+const asked: fc.Arbitrary<GeneratedRequest> = fc.record({
   conduct: fc.oneof(
     { weight: 2, arbitrary: fc.constant<ConductName>('whole') },
     { weight: 3, arbitrary: conduct },
@@ -34,8 +34,13 @@
   isPosted: fc.boolean(),
 });
 
-/** What a caller may hold against an answer; undefined if nothing. */
-function fault(id: string, runs: number, { path, isPosted }: Asked, answer: Answer | undefined) {
+/** What is wrong with a response from the caller's view; undefined if nothing. */
+function violationOf(
+  id: string,
+  runs: number,
+  { path, isPosted }: GeneratedRequest,
+  answer: Answer | undefined,
+) {
   const mayRepeat = !path.startsWith('/seats') && !isPosted;
   if (runs > 1 && !mayRepeat) return 'run twice';
   if (!answer) return undefined;
@@ -50,15 +55,14 @@
 }
 
 describe('random faults of upstreams', () => {
-  // Many callers at once, over connections that are used again, meet upstreams that cut, break,
-  // shed, forge and answer early or twice. Whatever happens: each answer belongs to its request
-  // and is whole, "not run" is true, and a booking runs once at most.
-  it('let every answer be whole, and its own, and every verdict be true', async () => {
+  // Guards against swapped or truncated responses, false verdicts and bookings that run twice, when
+  // upstreams cut, break, shed, forge, or respond early or twice on reused connections.
+  it('never mix up or truncate responses or falsify verdicts', async () => {
     let round = 0;
     const property = fc.asyncProperty(
       fc.array(asked, { minLength: 5, maxLength: 20 }),
       async (requests) => {
-        await using path = await Path.start(3);
+        await using path = await TestPath.start(3);
         const agent = new Agent({ keepAlive: true, maxSockets: 4 });
         round += 1;
         const faults = await Promise.all(
@@ -70,7 +74,7 @@
             const answer = await path
               .ask({ path: request.path, method, headers, body, agent })
               .catch(() => undefined);
-            return fault(id, path.runs(id), request, answer);
+            return violationOf(id, path.runs(id), request, answer);
           }),
         );
         agent.destroy();
@@ -80,11 +84,11 @@
     await fc.assert(property, { seed: SEED, numRuns: RUNS, endOnFailure: true });
   });
 
-  // Endpoints begin to leave one after the other while callers go on. From the moment at which a
-  // guard knows, its upstream begins nothing more, and no caller loses anything by it.
-  it('begin nothing after their drain', async () => {
-    await using path = await Path.start(3);
-    const [first, second] = path.stations;
+  // Guards against requests started on an instance whose guard is shutting down, and against failures
+  // for callers during such shutdowns.
+  it('start no request on a guard that is shutting down', async () => {
+    await using path = await TestPath.start(3);
+    const [first, second] = path.endpoints;
     const late: string[] = [];
     for (const leaving of [first!, second!]) {
       const answers = Array.from({ length: 20 }, (_, index) =>
--- a/src/test/requests/held_callers.ts
+++ b/src/test/requests/held_callers.ts
@@ -1,10 +1,10 @@
-/** Callers in a process of their own, who ask and leave while this process stands still. */
+/** Callers in a separate process that disconnect while this process is blocked. */
 import { spawnSync } from 'node:child_process';
 import { LOOPBACK } from '../../standins/listen.js';
 
 const TIMEOUT_MS = 10_000;
 
-/** Run by Node itself: each connection sends the head, and closes once that has been taken. */
+/** Run by Node itself: each connection sends its head and closes once that has been written. */
 const SCRIPT = `
 const { connect } = require('node:net');
 const [host, port, ...heads] = process.argv.slice(1);
@@ -17,11 +17,11 @@
 `;
 
 /**
- * Holds this process while one caller for each head of a request connects to `port`, sends it and
- * leaves: when this process goes on, each request lies in its socket together with the end of its connection.
+ * Blocks this process while one caller for each request head connects to `port`, sends it and
+ * disconnects. When this process resumes, the end of each connection is pending behind its request.
  */
-export function leaveWhileHeld(port: number, heads: readonly string[]): void {
-  // eslint-disable-next-line n/no-sync -- This process has to stand still meanwhile.
+export function disconnectWhileBlocked(port: number, heads: readonly string[]): void {
+  // eslint-disable-next-line n/no-sync -- This process has to be blocked meanwhile.
   const { status, stderr } = spawnSync(
     process.execPath,
     ['-e', SCRIPT, LOOPBACK, String(port), ...heads],
--- a/src/test/requests/hostility_test.ts
+++ b/src/test/requests/hostility_test.ts
@@ -1,10 +1,10 @@
 import { expect } from 'chai';
-import { Path } from './path.js';
+import { TestPath } from './path.js';
 
 const HOST = 'Host: suppers.example\r\n';
 const POST = `POST /seats/1 HTTP/1.1\r\n${HOST}x-request: hostile\r\n`;
 
-/** Requests as a hostile or broken caller writes them. */
+/** Raw requests of malicious or faulty callers. */
 const REQUESTS: Readonly<Record<string, string>> = {
   'headers larger than allowed': `GET /menus HTTP/1.1\r\n${HOST}X: ${'x'.repeat(20_000)}\r\n\r\n`,
   'a body longer than allowed': `${POST}Content-Length: 99999999\r\n\r\n`,
@@ -24,21 +24,21 @@
   'a malformed header': `GET /menus HTTP/1.1\r\n${HOST}X Y: 1\r\n\r\n`,
 };
 
-function parts(answer: string) {
+function parseResponse(answer: string) {
   const [head = '', body = ''] = answer.split('\r\n\r\n');
   const [status] = head.split('\r\n', 1);
   return { status, body: JSON.parse(body) as unknown };
 }
 
-describe('Hostility', () => {
-  // Input that the next hop could read differently is how one caller gets at another's answer.
-  // Each is refused here, with a status of its own and a verdict that is true.
+describe('ClientErrors', () => {
+  // Guards against request smuggling: input that the next hop could parse differently would give one
+  // caller the response to another. Each gets its own status and a true verdict.
   for (const [name, text] of Object.entries(REQUESTS)) {
     it(`refuses ${name}`, async () => {
-      await using path = await Path.start();
-      const { status, body } = parts(await path.raw(closing(text)));
+      await using path = await TestPath.start();
+      const { status, body } = parseResponse(await path.raw(withConnectionClose(text)));
       expect(status).to.match(/^HTTP\/1.1 4\d\d /);
-      // The upstream may have begun before the chunks turned out to be too many.
+      // The upstream may have started before the chunks exceeded the limit.
       const verdict = name.includes('in chunks') ? 'may-have-run' : 'not-run';
       expect(body).to.have.property('verdict', verdict);
       expect({ status, body }).toMatchSnapshot();
@@ -46,36 +46,38 @@
     });
   }
 
-  // A request is running when its caller writes rubbish behind it. A refusal written then would
-  // be taken for the answer to the first, and would say "not run" of it.
-  it('answers no running request with the refusal of what follows it', async () => {
-    await using path = await Path.start();
+  // Guards against a refusal of malformed input being taken for the response to the request before it,
+  // which is still running, with a false "not run".
+  it('does not answer a running request with the refusal of malformed input after it', async () => {
+    await using path = await TestPath.start();
     const first = `${POST}Content-Length: 1\r\nx-conduct: silent\r\n\r\nx`;
     const received = await path.raw(`${first}RUBBISH\r\n\r\n`);
     expect(received).to.equal('');
   });
 
   it('strips internal headers that a caller has forged', async () => {
-    await using path = await Path.start();
+    await using path = await TestPath.start();
     const headers = { 'Barleyhaven-Upstream': 'nobody', 'barleyhaven-remaining-ms': '0' };
     const { status } = await path.ask({ path: '/menus', headers });
     expect(status).to.equal(200);
   });
 
   it('does not ask for a body that it will refuse', async () => {
-    await using path = await Path.start();
+    await using path = await TestPath.start();
     const head = `${POST}Content-Length: 99999999\r\nExpect: 100-continue\r\n\r\n`;
-    expect(await path.raw(closing(head))).to.match(/^HTTP\/1.1 413 /);
+    expect(await path.raw(withConnectionClose(head))).to.match(/^HTTP\/1.1 413 /);
   });
 
   it('asks for a body that it will take', async () => {
-    await using path = await Path.start();
+    await using path = await TestPath.start();
     const head = `${POST}Content-Length: 1\r\nExpect: 100-continue\r\n\r\nx`;
-    expect(await path.raw(closing(head))).to.match(/^HTTP\/1.1 100 Continue\r\n\r\nHTTP\/1.1 200 /);
+    expect(await path.raw(withConnectionClose(head))).to.match(
+      /^HTTP\/1.1 100 Continue\r\n\r\nHTTP\/1.1 200 /,
+    );
   });
 });
 
-/** Has the connection closed after the answer. */
-function closing(text: string): string {
+/** Adds `Connection: close`, unless there is a `Connection` header. */
+function withConnectionClose(text: string): string {
   return text.includes('Connection:') ? text : text.replace('\r\n', '\r\nConnection: close\r\n');
 }
--- a/src/test/requests/paced_answer_test.ts
+++ b/src/test/requests/paced_answer_test.ts
@@ -3,19 +3,19 @@
 import { expect } from 'chai';
 import { MachineClock } from '../../runtime/clock.js';
 import { LOOPBACK } from '../../standins/listen.js';
-import { Path } from './path.js';
+import { TestPath } from './path.js';
 
-/** A megabyte takes a tenth of a second. */
+/** Uplink rate: a megabyte takes a tenth of a second. */
 const KBPS = 80_000;
 const BYTES = 300_000;
 const DOWNLOADS = 6;
 
-describe('answers on a narrow link', () => {
-  // Downloads wait for the link, and the instance is done with them. A short answer of the same
-  // process does not stand behind them, and each download arrives whole.
-  it('lets a short answer pass, and brings every download whole', async () => {
-    await using path = await Path.start(1, new MachineClock(), KBPS);
-    const { upstream } = path.stations[0]!;
+describe('responses on a slow uplink', () => {
+  // Guards against short responses that wait behind downloads queued for the uplink, and against
+  // truncated downloads; the upstream instance has already finished them.
+  it('lets a short response overtake downloads, and delivers every download completely', async () => {
+    await using path = await TestPath.start(1, new MachineClock(), KBPS);
+    const { upstream } = path.endpoints[0]!;
     const agent = new Agent({ keepAlive: true });
     let read = 0;
     upstream.on('answered', () => {
@@ -42,11 +42,11 @@
     expect(order.indexOf('short')).to.be.lessThan(order.lastIndexOf('download'));
   });
 
-  // A caller leaves in the middle of a download that waits for the link. Its place goes to others:
-  // were its bytes counted for ever, the process would refuse every download in the end.
-  it('gives up the place of an answer whose caller has gone', async () => {
-    await using path = await Path.start(1, new MachineClock(), KBPS / 100);
-    const { guard } = path.stations[0]!;
+  // Guards against a reservation that outlives its caller: if its bytes counted for ever, the process
+  // would refuse all downloads in the end.
+  it('releases the uplink reservation of a caller who disconnected', async () => {
+    await using path = await TestPath.start(1, new MachineClock(), KBPS / 100);
+    const { guard } = path.endpoints[0]!;
     const socket = connect(path.port, LOOPBACK);
     socket.write('GET /menus/list HTTP/1.1\r\nhost: a\r\nx-bytes: 90000\r\n\r\n');
     await until(() => guard.load.leavingMs > 0);
@@ -55,7 +55,7 @@
   });
 });
 
-/** Resolves when it holds; the test's own timeout is the bound. */
+/** Resolves when the condition holds; limited by the timeout of the test. */
 async function until(condition: () => boolean): Promise<void> {
   while (!condition()) {
     await new Promise((resolve) => {
--- a/src/test/requests/path.ts
+++ b/src/test/requests/path.ts
@@ -1,4 +1,4 @@
-/** One entry and some guards with upstream instances beside them, over real HTTP on loopback. */
+/** One entry and several guards with upstream instances, over real HTTP on loopback. */
 import { Agent, type IncomingMessage, type OutgoingHttpHeaders, request } from 'node:http';
 import { connect } from 'node:net';
 import { Configuration } from '../../configuration/configuration.js';
@@ -33,14 +33,14 @@
   },
 ].map((resource) => Resource.parse(resource));
 
-/** An endpoint of the path: a guard with an upstream instance beside it. */
-export interface Station {
+/** A guard with its upstream instance. */
+export interface TestEndpoint {
   readonly name: string;
   readonly guard: Guard;
   readonly upstream: UpstreamServer;
 }
 
-export interface Ask {
+export interface TestRequest {
   readonly path: string;
   readonly method?: string;
   readonly headers?: OutgoingHttpHeaders;
@@ -56,8 +56,8 @@
   readonly body: string;
 }
 
-export class Path implements AsyncDisposable {
-  readonly stations: Station[] = [];
+export class TestPath implements AsyncDisposable {
+  readonly endpoints: TestEndpoint[] = [];
 
   readonly roster: Roster;
 
@@ -93,8 +93,8 @@
     endpoints = 1,
     clock: Clock = new MachineClock(),
     uplinkKbps?: number,
-  ): Promise<Path> {
-    const path = new Path(clock, uplinkKbps);
+  ): Promise<TestPath> {
+    const path = new TestPath(clock, uplinkKbps);
     path.#port = await listen(path.entry.server);
     for (let index = 0; index < endpoints; index++) await path.#add(`endpoint-${index}`);
     return path;
@@ -104,17 +104,17 @@
     return this.#port;
   }
 
-  /** Runs at all upstream instances together of the request with that `x-request`. */
+  /** How often the request with that `x-request` has run, at all upstream instances together. */
   runs(id: string): number {
-    return this.stations.reduce((sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0), 0);
+    return this.endpoints.reduce((sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0), 0);
   }
 
-  /** Resolves to the whole answer; rejects if it was cut. */
-  ask(options: Ask): Promise<Answer> {
+  /** Resolves to the complete response; rejects if it was cut. */
+  ask(options: TestRequest): Promise<Answer> {
     return ask(this.#port, options);
   }
 
-  /** Writes bytes as they are and resolves to all that comes back until the connection closes. */
+  /** Writes raw bytes and resolves to everything received until the connection closes. */
   raw(text: string): Promise<string> {
     return new Promise((resolve) => {
       const socket = connect(this.#port, LOOPBACK);
@@ -145,7 +145,7 @@
     guard.announce({ ...endpoint, host: LOOPBACK, port: upstream.port });
     const guardPort = await listen(guard.server);
     this.roster.merge([{ ...memberOf(name, guardPort), endpoint }]);
-    this.stations.push({ name, guard, upstream });
+    this.endpoints.push({ name, guard, upstream });
   }
 }
 
@@ -163,8 +163,8 @@
   };
 }
 
-/** Resolves to the whole answer; rejects if it was cut. */
-export function ask(port: number, options: Ask): Promise<Answer> {
+/** Resolves to the complete response; rejects if it was cut. */
+export function ask(port: number, options: TestRequest): Promise<Answer> {
   const { path, method = 'GET', headers = {}, body, agent = false } = options;
   return new Promise((resolve, reject) => {
     const sent = request({ host: LOOPBACK, port, path, method, headers, agent }, (answer) => {
--- a/src/test/requests/presence_test.ts
+++ b/src/test/requests/presence_test.ts
@@ -3,8 +3,8 @@
 import { asOutcome } from '../../contracts.js';
 import { Presence } from '../../requests/presence.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { headOf, leaveWhileHeld } from './held_callers.js';
-import { Path } from './path.js';
+import { headOf, disconnectWhileBlocked } from './held_callers.js';
+import { TestPath } from './path.js';
 
 const CALLERS = ['one', 'two', 'three', 'four', 'five'];
 const SETTLE_MS = 300;
@@ -14,38 +14,38 @@
     setTimeout(resolve, SETTLE_MS);
   });
 
-/** A caller as it is seen from its connection. */
+/** A caller whose connection state can be set. */
 function caller() {
   const socket = { destroyed: false, readableEnded: false };
   const response = { destroyed: false, req: { socket } } as unknown as ServerResponse;
   return { socket, response };
 }
 
-describe('Presence', () => {
-  // Guards against slots that stand idle for a look at a caller who was seen moments ago.
-  it('lets a request on at once right after a look, and looks again after a wait', async () => {
+describe('DisconnectCheck', () => {
+  // Guards against slots that are idle during the check of a caller who was checked moments ago.
+  it('starts a recently checked request at once, and checks again after a wait', async () => {
     const clock = new MachineClock();
     const presence = new Presence(clock);
     const { socket, response } = caller();
     let isAtOnce = false;
-    await presence.pass(response, async () => {
-      const again = presence.pass(response, async () => {
+    await presence.run(response, async () => {
+      const again = presence.run(response, async () => {
         isAtOnce = true;
       });
       expect(isAtOnce).to.equal(true);
       await again;
     });
     await clock.sleepUntil(clock.now() + 50);
-    const late = presence.pass(response, async () => 'passed on').catch(asOutcome);
+    const late = presence.run(response, async () => 'passed on').catch(asOutcome);
     socket.readableEnded = true;
     expect(await late).to.include({ verdict: 'not-run', reason: 'cancelled' });
   });
 
-  // Guards against work for callers who left while the process stood still.
-  it('keeps an entry that is late from passing on what nobody waits for', async () => {
-    await using path = await Path.start();
+  // Guards against work for callers who disconnected while the process was blocked.
+  it('keeps a stalled entry from forwarding requests of disconnected callers', async () => {
+    await using path = await TestPath.start();
     await path.ask({ path: '/menus/1', headers: { 'x-request': 'before' } });
-    leaveWhileHeld(
+    disconnectWhileBlocked(
       path.port,
       CALLERS.map((id) => headOf('/menus/1', { 'x-request': id })),
     );
@@ -56,11 +56,11 @@
     expect(path.runs('after')).to.equal(1);
   });
 
-  // Guards against the same one hop further: the entry has given up, and its guard was late.
-  it('keeps a guard that is late from passing on what its entry has given up', async () => {
-    await using path = await Path.start();
+  // Guards against the same one hop further: the entry has cancelled, and its guard was blocked.
+  it('keeps a stalled guard from forwarding requests that the entry has cancelled', async () => {
+    await using path = await TestPath.start();
     await path.ask({ path: '/menus/1', headers: { 'x-request': 'before' } });
-    const [{ guard }] = path.stations as [(typeof path.stations)[0]];
+    const [{ guard }] = path.endpoints as [(typeof path.endpoints)[0]];
     const { port } = guard.server.address() as { port: number };
     const handedOver = (id: string) => ({
       'x-request': id,
@@ -69,7 +69,7 @@
       'barleyhaven-remaining-ms': '5000',
       'barleyhaven-route': 'menus',
     });
-    leaveWhileHeld(
+    disconnectWhileBlocked(
       port,
       CALLERS.map((id) => headOf('/menus/1', handedOver(id))),
     );
--- a/src/test/requests/rollout_test.ts
+++ b/src/test/requests/rollout_test.ts
@@ -1,30 +1,30 @@
 import { expect } from 'chai';
 import { Observer, type Ran } from '../../rollout/observer.js';
-import { Path } from './path.js';
+import { TestPath } from './path.js';
 
-/** Keeps what a guard tells. */
-class Notes extends Observer {
-  readonly noted: unknown[] = [];
+/** Records the results that a guard reports. */
+class RecordingObserver extends Observer {
+  readonly results: unknown[] = [];
 
   isShut = false;
 
   async observe<T extends Ran>(route: string, work: () => Promise<T>): Promise<T> {
     try {
       const ran = await work();
-      this.noted.push({ route, isFailure: ran.isFailure, isTimed: ran.tookMs !== undefined });
+      this.results.push({ route, isFailure: ran.isFailure, isTimed: ran.tookMs !== undefined });
       return ran;
     } catch (error) {
-      this.noted.push({ route, isBroken: true });
+      this.results.push({ route, isBroken: true });
       throw error;
     }
   }
 }
 
-describe('a guard of a version that is rolled out', () => {
-  it('tells how requests end, by route, and times none while its endpoint is cold', async () => {
-    await using path = await Path.start(1);
-    const { guard } = path.stations[0]!;
-    const notes = new Notes();
+describe('a guard during a rollout', () => {
+  it('reports results by route, without times while its endpoint warms up', async () => {
+    await using path = await TestPath.start(1);
+    const { guard } = path.endpoints[0]!;
+    const notes = new RecordingObserver();
     guard.rollouts = notes;
     await path.ask({ path: '/menus/1' });
     await path.ask({
@@ -35,20 +35,20 @@
     });
     guard.announce({ ...guard.announced!, coldMs: 800 });
     await path.ask({ path: '/menus/2' });
-    expect(notes.noted).toMatchSnapshot();
+    expect(notes.results).toMatchSnapshot();
   });
 
-  // Guards against entries that have not heard a verdict yet going on with a bad version.
-  it('refuses, before it runs, what comes for a version that was withdrawn', async () => {
-    await using path = await Path.start(2);
-    const [shut] = path.stations;
-    const notes = new Notes();
+  // Guards against requests of entries that have not learned yet that a version was withdrawn.
+  it('refuses requests for a withdrawn version before they run', async () => {
+    await using path = await TestPath.start(2);
+    const [shut] = path.endpoints;
+    const notes = new RecordingObserver();
     notes.isShut = true;
     shut!.guard.rollouts = notes;
     for (let index = 0; index < 20; index++) {
       const { status } = await path.ask({ path: '/seats/1', method: 'POST', body: 'seat 12' });
       expect(status).to.equal(200);
     }
-    expect([notes.noted.length, shut!.upstream.runs.size]).to.deep.equal([0, 0]);
+    expect([notes.results.length, shut!.upstream.runs.size]).to.deep.equal([0, 0]);
   });
 });
