--- a/src/test/requests/router_test.ts
+++ b/src/test/requests/router_test.ts
@@ -5,8 +5,8 @@
 import { routeOf, type Target } from '../../requests/router.js';
 
 const SEED = 5;
-/** Sorting looks at a route some twenty times among thousands. */
-const MOST_LOOKS = 64;
+/** Bound on reads per route; sorting thousands of routes reads each some twenty times. */
+const MAX_READS_PER_ROUTE = 64;
 
 function route(name: string, rest: Partial<Route>): Route {
   return Route.parse({ kind: 'route', name, pathPrefix: '/', upstream: 'bookings', ...rest });
@@ -32,7 +32,7 @@
     route('beta', { pathPrefix: '/menus', headers: { 'x-beta': '1' } }),
   ]);
 
-  it('takes the most specific one that matches', () => {
+  it('chooses the most specific matching route', () => {
     const targets = [
       targetOf('/'),
       targetOf('/menuscript'),
@@ -46,10 +46,9 @@
     expect(names).toMatchSnapshot();
   });
 
-  // Thousands of routes stand under one host, and versions follow each other within a second. Each
-  // process sorts its tables anew for each: were every route compared with every other, that took a
-  // third of a second on a quarter of a core (90 ms of work for 1,126 routes), and requests waited.
-  it('looks at each route a few times only when a version is new', () => {
+  // Guards against quadratic sorting, which delays requests at each new version: comparing all pairs
+  // of 1,126 routes of one host took 90 ms of work, a third of a second on a quarter of a core.
+  it('reads each route a bounded number of times for a new version', () => {
     const count = 2_000;
     let looks = 0;
     const routes = Array.from({ length: count }, (_, index) => {
@@ -64,13 +63,11 @@
     const many = configurationOf(routes);
     looks = 0;
     expect(routeOf(many, targetOf('/p7/x'))?.name).to.equal('r7');
-    expect(looks / count).to.be.lessThan(MOST_LOOKS);
+    expect(looks / count).to.be.lessThan(MAX_READS_PER_ROUTE);
   });
 
-  // The tables by host and first segment are a shortcut; they must find what a search through all
-  // routes finds, or a request would go to the wrong service.
-  // Guards against a version with many new hosts that holds up all requests until its tables are made.
-  it('looks at each route a few times only when a version brings many hosts', () => {
+  // Guards against a version with many new hosts that delays all requests until its tables are built.
+  it('reads each route a bounded number of times for a version with many new hosts', () => {
     let looks = 0;
     const counted = (name: string) =>
       new Proxy(route(name, { host: `${name}.example` }), {
@@ -86,10 +83,11 @@
     const after = before.next({ put: names(1_000, 'b'), remove: [] });
     looks = 0;
     routeOf(after, targetOf('/'));
-    expect(looks).to.be.lessThan(2_000 * MOST_LOOKS);
+    expect(looks).to.be.lessThan(2_000 * MAX_READS_PER_ROUTE);
   });
 
-  it('finds what a plain search finds', () => {
+  // Guards against tables by host and first path segment that find another route than a full search.
+  it('finds the same route as a linear search', () => {
     const path = fc
       .array(fc.constantFrom('a', 'b', 'ab', ''), { maxLength: 3 })
       .map((parts) => `/${parts.join('/')}`);
@@ -115,8 +113,8 @@
     fc.assert(property, { seed: SEED, numRuns: 500 });
   });
 
-  // Guards against tables that are made from those of the version before leading elsewhere.
-  it('leads where tables made anew do, whatever versions came before', () => {
+  // Guards against tables compiled from the previous version that lead to other routes.
+  it('finds the same route after incremental compilation as after a full one', () => {
     const hosts = fc.constantFrom(undefined, 'a.example', 'B.example');
     const one = fc
       .record({ name: fc.constantFrom('k', 'l', 'm', 'n', 'o'), host: hosts, depth: fc.nat(2) })
@@ -136,13 +134,13 @@
     const targets = ['/', '/menus', '/menus/today/1', '/other'].flatMap((path) =>
       ['a.example', 'b.example', 'c.example'].map((host) => targetOf(path, { host })),
     );
-    const led = (held: Configuration) => targets.map((target) => routeOf(held, target)?.name);
+    const found = (held: Configuration) => targets.map((target) => routeOf(held, target)?.name);
     fc.assert(
       fc.property(changes, (versions) => {
         let held = configuration;
         for (const change of versions) {
           held = held.next(change);
-          expect(led(held)).to.deep.equal(led(configurationOf(held.resources() as Route[])));
+          expect(found(held)).to.deep.equal(found(configurationOf(held.resources() as Route[])));
         }
       }),
       { seed: SEED },
--- a/src/test/requests/safeguards_test.ts
+++ b/src/test/requests/safeguards_test.ts
@@ -5,8 +5,8 @@
 import { MachineClock } from '../../runtime/clock.js';
 
 const clock = new MachineClock();
-/** Long enough for any machine; the tests go on as soon as what they wait for is there. */
-const PATIENCE_MS = 15_000;
+/** Long enough for any machine; each wait ends as soon as its condition holds. */
+const WAIT_TIMEOUT_MS = 15_000;
 const NOTE = ReleaseNote.parse({
   id: 'opening-night',
   author: 'dana',
@@ -22,20 +22,22 @@
   before(async () => {
     const dataCentres = ['arima', 'amman'];
     fleet = await Fleet.start(clock, { dataCentres, upstreams: ['bookings', 'bookings'] });
-    await until(() => fleet.stations.every(({ instance }) => instance.isReady && sees(instance)));
-    await fleet.stations[0]!.instance.source.submit(NOTE, clock.now() + PATIENCE_MS);
+    await until(() =>
+      fleet.stations.every(({ instance }) => instance.isReady && seesAllReady(instance)),
+    );
+    await fleet.stations[0]!.instance.source.submit(NOTE, clock.now() + WAIT_TIMEOUT_MS);
     await until(() => fleet.stations.every(({ instance }) => instance.replica.current.number > 0));
   });
 
   after(() => fleet[Symbol.asyncDispose]());
 
-  function sees({ roster }: Fleet['stations'][number]['instance']): boolean {
+  function seesAllReady({ roster }: Fleet['stations'][number]['instance']): boolean {
     const ready = roster.live().filter(({ endpoint }) => endpoint?.state === 'ready');
     return ready.length === fleet.stations.length;
   }
 
   async function until(condition: () => boolean): Promise<void> {
-    expect(await fleet.until(condition, clock.now() + PATIENCE_MS)).to.equal(true);
+    expect(await fleet.until(condition, clock.now() + WAIT_TIMEOUT_MS)).to.equal(true);
   }
 
   function book(index: number, headers: Record<string, string>, body = 'seat 12'): Promise<Answer> {
@@ -43,7 +45,7 @@
     return ask({ port, path: '/seats/1', method: 'POST', headers, body });
   }
 
-  function deathsKnown(): number[] {
+  function knownDeaths(): number[] {
     return fleet.stations.map(({ instance }) => instance.safeguards.quarantine.deaths);
   }
 
@@ -51,9 +53,9 @@
     return fleet.stations.reduce((sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0), 0);
   }
 
-  // A guest's booking reaches all four processes in both data centres at once. It runs once; the
-  // others refuse, and a repeat is told the outcome by whichever process it reaches.
-  it('runs a booking once that reaches both data centres at once', async () => {
+  // Guards against a booking that runs twice when it reaches all four processes in both data centres
+  // at once: the others refuse it, and any process tells a retry the outcome.
+  it('runs a booking once that arrives in both data centres at the same time', async () => {
     for (let key = 0; key < 10; key++) {
       const headers = { 'idempotency-key': `k-${key}`, 'x-request': `booking-${key}` };
       const tries = await Promise.all([0, 1, 2, 3].map((index) => book(index, headers)));
@@ -66,13 +68,13 @@
     }
   });
 
-  // A booking crashes every upstream instance that runs it, and its caller sends it again and
-  // again. Two instances die; then every process knows, and the other two go on booking.
-  it('keeps a request from the third upstream instance in the whole fleet', async () => {
+  // Guards against a booking that crashes every upstream instance that runs it: after two deaths every
+  // process refuses it, and the other two instances go on.
+  it('quarantines a request on all processes after it has crashed two upstream instances', async () => {
     const poison = { 'x-conduct': 'crash', 'x-request': 'poison' };
     for (let death = 1; death <= 2; death++) {
       expect((await book(0, poison)).headers['barleyhaven-verdict']).to.equal('may-have-run');
-      await until(() => deathsKnown().every((deaths) => deaths === death));
+      await until(() => knownDeaths().every((deaths) => deaths === death));
     }
     for (const index of [0, 1, 2, 3]) {
       const { headers } = await book(index, poison);
--- a/src/test/requests/traffic_test.ts
+++ b/src/test/requests/traffic_test.ts
@@ -1,21 +1,21 @@
 import { createServer, type ServerResponse } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
 import { expect } from 'chai';
-import { Traffic } from '../../requests/traffic.js';
+import { RequestTracker } from '../../requests/traffic.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { listen, LOOPBACK } from '../../standins/listen.js';
 
 const REQUEST = 'GET /menus HTTP/1.1\r\nhost: a\r\n\r\n';
 
-describe('Traffic', () => {
-  async function leaving() {
+describe('RequestTracker', () => {
+  async function startShuttingDown() {
     const entered: boolean[] = [];
     const responses: ServerResponse[] = [];
     const server = createServer((_, response) => {
-      entered.push(traffic.enter(response));
+      entered.push(traffic.track(response));
       responses.push(response);
     });
-    const traffic = new Traffic(server, new MachineClock());
+    const traffic = new RequestTracker(server, new MachineClock());
     traffic.leave();
     await listen(server);
     const socket = connect((server.address() as AddressInfo).port, LOOPBACK);
@@ -35,10 +35,10 @@
     return { entered, responses, socket, until, closed, traffic };
   }
 
-  // A caller has sent two requests on one connection when the process is told to stop. Were the
-  // first answer to end the connection, the second would be lost with its request running.
-  it('ends a connection with the last of its answers', async () => {
-    const { entered, responses, socket, until, closed } = await leaving();
+  // Guards against losing the second of two pipelined requests, which is running, when the process
+  // shuts down and the first response closes the connection.
+  it('closes a connection after its last response', async () => {
+    const { entered, responses, socket, until, closed } = await startShuttingDown();
     socket.write(REQUEST + REQUEST);
     await until(() => responses.length === 2);
     responses.forEach((response, index) => response.end(`answer ${index}`));
@@ -49,10 +49,10 @@
     expect(received.indexOf('connection: close')).to.be.greaterThan(received.indexOf('answer 0'));
   });
 
-  // The request comes when the answer before it has already said that the connection ends. Nobody
-  // will get its answer, so it must not run: the caller sends it again elsewhere.
-  it('lets nothing run behind an answer that ends the connection', async () => {
-    const { entered, responses, socket, until, closed, traffic } = await leaving();
+  // Guards against running a request that arrives after the response before it has announced the end
+  // of the connection: nobody would get its response, and its caller resends it elsewhere.
+  it('rejects a request that follows the closing response of its connection', async () => {
+    const { entered, responses, socket, until, closed, traffic } = await startShuttingDown();
     socket.write(REQUEST);
     await until(() => responses.length === 1);
     responses[0]!.writeHead(200);
@@ -64,9 +64,9 @@
     await closed;
   });
 
-  // Guards against requests behind another on a connection counting for ever once their caller has gone.
-  it('forgets all requests of a connection that ends', async () => {
-    const { responses, socket, until, closed, traffic } = await leaving();
+  // Guards against pipelined requests that count for ever once their caller has disconnected.
+  it('stops counting all requests of a connection that closes', async () => {
+    const { responses, socket, until, closed, traffic } = await startShuttingDown();
     const ended: number[] = [];
     socket.write(REQUEST.repeat(3));
     await until(() => responses.length === 3);
@@ -79,13 +79,13 @@
       });
     }
     expect([traffic.inFlight, ended]).to.deep.equal([0, [0, 1, 2]]);
-    // Whoever still works on one of them learns by its end that there is nobody to tell.
+    // Code that still works on a request learns of the disconnect from its response.
     for (const response of responses) expect(response.destroyed).to.equal(true);
   });
 
-  // Guards against work that goes on for a caller who has left, turn after turn of a late process.
-  it('tells that a caller has gone before the answer closes', async () => {
-    const { responses, socket, until, closed } = await leaving();
+  // Guards against work for a disconnected caller that goes on for several turns of a slow event loop.
+  it('reports that a caller disconnected before its response closes', async () => {
+    const { responses, socket, until, closed } = await startShuttingDown();
     socket.write(REQUEST + REQUEST);
     await until(() => responses.length === 2);
     const told: string[] = [];
--- a/src/test/requests/unsteady_platform.ts
+++ b/src/test/requests/unsteady_platform.ts
@@ -10,13 +10,13 @@
 import { type Random } from '../../runtime/random.js';
 import { type PlatformStore } from '../../standins/platform_store.js';
 
-/** Shares of writes that go wrong, each between 0 and 1. */
-export interface Unsteadiness {
-  /** Neither the write nor an answer arrives. */
+/** Probabilities of faults for each write, from 0 to 1. */
+export interface FaultRates {
+  /** Neither the write nor a response arrives. */
   readonly lost: number;
-  /** The write takes effect, its answer is lost. */
+  /** The write takes effect, its response is lost. */
   readonly answerLost: number;
-  /** The caller gives up, and the write takes effect some seconds later. */
+  /** The caller times out, and the write takes effect up to 3 s later. */
   readonly late: number;
 }
 
@@ -24,7 +24,7 @@
 const LATE_MS = 3_000;
 const GIVE_UP_MS = 300;
 
-/** One process's way to the store: loses and delays calls, and stops for good in a crash. */
+/** One process's access to the store: loses and delays calls, and fails all of them after a crash. */
 export class UnsteadyPlatform extends Platform {
   hasCrashed = false;
 
@@ -32,18 +32,18 @@
     private readonly store: PlatformStore,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly unsteadiness: Unsteadiness,
+    private readonly unsteadiness: FaultRates,
   ) {
     super();
   }
 
   async get(key: string, deadline: number): Promise<Stored | undefined> {
-    await this.#travel();
+    await this.#delay();
     return this.store.get(key, deadline);
   }
 
   async list(range: Range, deadline: number): Promise<Stored[]> {
-    await this.#travel();
+    await this.#delay();
     return this.store.list(range, deadline);
   }
 
@@ -76,30 +76,30 @@
   }
 
   async #write<T>(write: () => Promise<T>): Promise<T> {
-    await this.#travel();
+    await this.#delay();
     const { lost, answerLost, late } = this.unsteadiness;
     const drawn = this.random.next();
-    if (drawn < lost) return this.#giveUp();
+    if (drawn < lost) return this.#timeOut();
     if (drawn < lost + answerLost) {
       await write();
-      return this.#giveUp();
+      return this.#timeOut();
     }
     if (drawn < lost + answerLost + late) {
       const effectAt = this.clock.now() + this.random.jitter(LATE_MS);
       void this.clock.sleepUntil(effectAt).then(() => write().catch(() => {}));
-      return this.#giveUp();
+      return this.#timeOut();
     }
     const result = await write();
-    await this.#travel();
+    await this.#delay();
     return result;
   }
 
-  async #travel(): Promise<void> {
+  async #delay(): Promise<void> {
     await this.clock.sleepUntil(this.clock.now() + this.random.jitter(LATENCY_MS));
     if (this.hasCrashed) throw outcome('not-run');
   }
 
-  async #giveUp(): Promise<never> {
+  async #timeOut(): Promise<never> {
     await this.clock.sleepUntil(this.clock.now() + GIVE_UP_MS);
     throw outcome('may-have-run');
   }
