--- a/src/requests/entry.ts
+++ b/src/requests/entry.ts
@@ -212,7 +212,7 @@
     endpoint.inFlight += 1;
     let failure: OutcomeError | undefined;
     try {
-      failure = await this.disconnectCheck.run(routed.response, () =>
+      failure = await this.disconnectCheck.runIfConnected(routed.response, () =>
         this.#sendTo(routed, body, endpoint, attempts, id),
       );
     } catch (error) {
@@ -323,6 +323,5 @@
 
 function unacknowledged(): OutcomeError {
   const props = { verdict: 'may-have-run', reason: 'unacknowledged' } as const;
-  const message = `guard did not acknowledge the request within ${ACKNOWLEDGEMENT_TIMEOUT_MS} ms`;
-  return new OutcomeError(message, props);
+  return new OutcomeError(`no acknowledgement within ${ACKNOWLEDGEMENT_TIMEOUT_MS} ms`, props);
 }
--- a/src/requests/exchange.ts
+++ b/src/requests/exchange.ts
@@ -193,8 +193,11 @@
     const { acknowledgementTimeoutMs, onUnacknowledged } = this.options;
     if (acknowledgementTimeoutMs === undefined) return;
     const timer = setTimeout(() => {
-      const message = `request not acknowledged within ${acknowledgementTimeoutMs} ms`;
-      if (onUnacknowledged?.()) this.#fail('unacknowledged', message);
+      if (onUnacknowledged?.())
+        this.#fail(
+          'unacknowledged',
+          `request not acknowledged within ${acknowledgementTimeoutMs} ms`,
+        );
     }, acknowledgementTimeoutMs);
     const stop = () => clearTimeout(timer);
     request.once('information', stop).once('response', stop).once('close', stop);
--- a/src/requests/guard.ts
+++ b/src/requests/guard.ts
@@ -151,7 +151,7 @@
     try {
       const arrival = { request, response, trace, at: this.clock.now() };
       // Checked before it takes a slot, which would be idle during the check.
-      await this.disconnectCheck.run(response, () => this.#handle(arrival));
+      await this.disconnectCheck.runIfConnected(response, () => this.#handle(arrival));
       trace.answered('guard-ended', response, this.#hopState(exchange));
     } catch (error) {
       if (isConnectionRefused(error)) this.onRefused();
@@ -184,7 +184,9 @@
     const observed = rollouts ? () => rollouts.observe(guardRequest.kind, forward) : forward;
     const work = crashDetector ? () => crashDetector.watch(guardRequest, observed) : observed;
     // A claimed request runs to its end even if its caller has disconnected: the caller will retry.
-    const checkedWork = claim ? work : () => this.disconnectCheck.run(guardRequest.response, work);
+    const checkedWork = claim
+      ? work
+      : () => this.disconnectCheck.runIfConnected(guardRequest.response, work);
     try {
       await this.limit.run(guardRequest, checkedWork);
     } catch (error) {
--- a/src/requests/presence.ts
+++ b/src/requests/presence.ts
@@ -48,7 +48,7 @@
    * await disconnectCheck.run(response, () => sendTo(endpoint));
    * ```
    */
-  run<T>(response: ServerResponse, work: () => Promise<T>): Promise<T> {
+  runIfConnected<T>(response: ServerResponse, work: () => Promise<T>): Promise<T> {
     return new Promise((resolve, reject) => {
       const start = () => {
         this.#lastSeenAt.set(response, this.clock.now());
--- a/src/test/requests/presence_test.ts
+++ b/src/test/requests/presence_test.ts
@@ -28,15 +28,15 @@
     const presence = new Presence(clock);
     const { socket, response } = caller();
     let isAtOnce = false;
-    await presence.run(response, async () => {
-      const again = presence.run(response, async () => {
+    await presence.runIfConnected(response, async () => {
+      const again = presence.runIfConnected(response, async () => {
         isAtOnce = true;
       });
       expect(isAtOnce).to.equal(true);
       await again;
     });
     await clock.sleepUntil(clock.now() + 50);
-    const late = presence.run(response, async () => 'passed on').catch(asOutcome);
+    const late = presence.runIfConnected(response, async () => 'passed on').catch(asOutcome);
     socket.readableEnded = true;
     expect(await late).to.include({ verdict: 'not-run', reason: 'cancelled' });
   });
--- a/src/test/requests/router_test.ts
+++ b/src/test/requests/router_test.ts
@@ -134,13 +134,16 @@
     const targets = ['/', '/menus', '/menus/today/1', '/other'].flatMap((path) =>
       ['a.example', 'b.example', 'c.example'].map((host) => targetOf(path, { host })),
     );
-    const found = (held: Configuration) => targets.map((target) => routeOf(held, target)?.name);
+    const routeNames = (held: Configuration) =>
+      targets.map((target) => routeOf(held, target)?.name);
     fc.assert(
       fc.property(changes, (versions) => {
         let held = configuration;
         for (const change of versions) {
           held = held.next(change);
-          expect(found(held)).to.deep.equal(found(configurationOf(held.resources() as Route[])));
+          expect(routeNames(held)).to.deep.equal(
+            routeNames(configurationOf(held.resources() as Route[])),
+          );
         }
       }),
       { seed: SEED },
