--- a/src/quarantine/flights.ts
+++ b/src/quarantine/flights.ts
@@ -151,7 +151,7 @@
   }
 }
 
-/** Whether a response clears the request: on a 429 the upstream instance has not run it. */
+/** Whether a response clears the request; a 429 does not, as the instance has not run it for lack of capacity. */
 function provesSuccess(status: number): boolean {
   return status < FIRST_SERVER_ERROR && status !== TOO_MANY_REQUESTS;
 }
--- a/src/requests/admission.ts
+++ b/src/requests/admission.ts
@@ -1,4 +1,4 @@
-/** The request of an entry as its guard reads it, headers parsed. */
+/** A request as a guard receives it from an entry, with its headers parsed. */
 import { type IncomingMessage, type ServerResponse } from 'node:http';
 import { type Ticket } from '../admission/limit.js';
 import { type Departure } from '../admission/uplink.js';
--- a/src/requests/hostility.ts
+++ b/src/requests/hostility.ts
@@ -64,7 +64,8 @@
   /**
    * Malformed input may follow a request that is already running. A refusal written now would be
    * taken for the response to that request, and its `not-run` would be false, so the connection is
-   * destroyed. In the body of the request itself, the verdict depends on whether it was handed over.
+   * destroyed. If it is in the body of the latest request, the verdict depends on whether that request
+   * was handed over.
    */
   #refuse(error: NodeJS.ErrnoException, socket: Duplex): void {
     const pending = this.#pending.get(socket);
