--- a/src/link/peer.ts
+++ b/src/link/peer.ts
@@ -1,4 +1,4 @@
-/** Another process at the far end of a link: JSON-RPC both ways. */
+/** JSON-RPC in both directions with the process at the far end of a link. */
 import {
   createJSONRPCNotification,
   isJSONRPCRequest,
@@ -12,18 +12,18 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Link } from './link.js';
 
-/** A method that a process offers on its links. */
+/** A JSON-RPC method that processes call on each other. */
 export interface Method<Params, Result> {
   readonly name: string;
   readonly params: z.ZodType<Params>;
   readonly result: z.ZodType<Result>;
-  /** Makes the parameters smaller for the wire; `params` undoes it. */
+  /** Packs the parameters into a smaller form for the wire, which the schema `params` unpacks. */
   readonly pack?: (params: Params) => unknown;
 }
 
 type Handler = (peer: Peer, params: unknown) => unknown;
 
-/** The methods that a process answers, checked against their schemas on the way in. */
+/** Method handlers of a process; parameters are validated against their schemas before a call. */
 export class Methods {
   readonly handlers = new Map<string, Handler>();
 
@@ -37,20 +37,20 @@
 }
 
 export class Peer implements AsyncDisposable {
-  /** Who is at the far end, once it has said so. */
+  /** Introduction of the far end; undefined until it has been received. */
   hello: Hello | undefined;
 
   /** Whether this end opened the link. */
   isDialled = false;
 
-  /** Highest version that the far end is known to hold. */
+  /** Highest version that the far end is known to have. */
   version = 0;
 
-  /** Whether the far end has said that it is ready. */
+  /** Whether the far end has reported that it is ready. */
   isReady = false;
 
-  /** Instant of the last message from it. */
-  lastHeard: number;
+  /** When the last message arrived from it, in milliseconds since the epoch. */
+  lastMessageAt: number;
 
   readonly #rpc: JSONRPCServerAndClient;
 
@@ -59,7 +59,7 @@
     private readonly methods: Methods,
     private readonly clock: Clock,
   ) {
-    this.lastHeard = clock.now();
+    this.lastMessageAt = clock.now();
     const server = new JSONRPCServer({ errorListener: () => {} });
     for (const [name, handler] of methods.handlers) {
       server.addMethod(name, (params) => handler(this, params));
@@ -79,7 +79,10 @@
     return this.hello?.member;
   }
 
-  /** Asks the far end; rejects with verdict `may-have-run` if no answer comes by the deadline. */
+  /**
+   * Calls a method of the far end. Rejects with an `OutcomeError` of verdict `may-have-run` if no
+   * valid response arrives by the deadline.
+   */
   async request<Params, Result>(
     method: Method<Params, Result>,
     params: Params,
@@ -94,7 +97,7 @@
     }
   }
 
-  /** Sends what needs no answer; on a link that is closed nothing happens. */
+  /** Sends a notification, which has no response; does nothing on a closed link. */
   notify<Params>(method: Method<Params, unknown>, params: Params): void {
     notifyAll([this], method, params);
   }
@@ -109,31 +112,32 @@
   }
 
   #receive(message: unknown): void {
-    this.lastHeard = this.clock.now();
+    this.lastMessageAt = this.clock.now();
     if (this.hello && isNotification(message)) {
-      this.#take(message);
+      this.#dispatch(message);
       return;
     }
-    // A message that is not JSON-RPC is answered with an error by the library.
+    // The library answers a message that is not JSON-RPC with an error response.
     void this.#rpc.receiveAndSend(message).catch(() => {});
   }
 
   /**
-   * Nearly all messages of a calm fleet are notifications. The library would take each through a
-   * dozen promises on the way to an answer that nobody gets. Before the far end has introduced
-   * itself they go that way all the same, or they would overtake its introduction.
+   * Calls the handler of a notification directly. Nearly all messages of an idle fleet are
+   * notifications, and the library would create a dozen promises for each although it needs no
+   * response. Until the far end has introduced itself, the library handles notifications, too: they
+   * would otherwise overtake the introduction.
    */
-  #take({ method, params }: Notification): void {
+  #dispatch({ method, params }: Notification): void {
     try {
       const result = this.methods.handlers.get(method)?.(this, params);
       if (result instanceof Promise) result.catch(() => {});
     } catch {
-      // What does not fit its schema changes nothing; nobody waits for an answer.
+      // Invalid parameters are ignored: no response is expected.
     }
   }
 }
 
-/** Sends the same to several ends; it is made and encoded once. Nobody hears of what is not sent. */
+/** Notifies several peers, encoding the notification once. Failures to send are not reported. */
 export function notifyAll<Params>(
   peers: readonly Peer[],
   method: Method<Params, unknown>,
@@ -144,12 +148,12 @@
   for (const { link } of peers) if (!link.closed.aborted) sendOrDrop(link, notification);
 }
 
-/** A message too long for a frame would else end the task that tells of it, such as the gossip. */
+/** Drops a message too long for a frame; the error would otherwise end the task that notifies. */
 function sendOrDrop(link: Link, notification: unknown): void {
   try {
     link.send(notification);
   } catch {
-    // Whoever lacks it asks for it, in parts.
+    // A peer that lacks the content requests it in parts.
   }
 }
 
--- a/src/membership/announcement.ts
+++ b/src/membership/announcement.ts
@@ -1,39 +1,40 @@
-/** What the upstream instance beside a process says of itself, again and again. */
+/** Periodic announcements of the local upstream instance, held as a lease. */
 import * as z from 'zod';
 import { Endpoint, type Drain } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Roster } from './roster.js';
 
-/** Body of `PUT /announcement`: the endpoint, and where this process reaches it. */
+/** Body of `PUT /announcement`: the state of the local endpoint and the address it listens on. */
 export const Announcement = Endpoint.omit({ drain: true }).extend({
   host: z.string(),
   port: z.number().int(),
-  /** The id by which the upstream instance knows itself. */
+  /** Id that the upstream instance has given itself. */
   id: z.string().optional(),
-  /** Start of the upstream instance, in milliseconds since the epoch. */
+  /** Start time of the upstream instance, in milliseconds since the epoch. */
   born: z.number().int().optional(),
-  /** How much longer it is slow after its start, in milliseconds; unknown when absent. */
+  /** Remaining warm-up time after its start, in milliseconds; unknown when absent. */
   coldMs: z.number().optional(),
-  /** Rises with each announcement of one life. */
+  /** Increases with each announcement of one run of the instance. */
   sequence: z.number().int().optional(),
 });
 export type Announcement = z.infer<typeof Announcement>;
 
-/** One life of an upstream instance. */
+/** One run of an upstream instance, identified by its id and start time. */
 export type Life = Pick<Drain, 'id' | 'born'>;
 
-/** An announcement holds for this long, in milliseconds; upstreams repeat it several times. */
-export const LEASE_MS = 3_000;
-/** Announcements do not bring back an endpoint that has just refused, for so long. */
-export const REFUSED_MS = 1_000;
-/** Longest sleep between two looks, in milliseconds: each wake-up costs an idle process. */
-const CHECK_EVERY_MS = 1_000;
-/** Waking up so much too late means that the process was paused, in milliseconds. */
-const PAUSED_MS = 1_000;
+/** Lease duration in milliseconds; upstreams announce several times within it. */
+export const DEFAULT_LEASE_MS = 3_000;
+/** After a refused connection, `ready` announcements are ignored for this long, in milliseconds. */
+export const REFUSAL_HOLDOFF_MS = 1_000;
+/** Longest sleep between two expiry checks, in milliseconds; each wake-up costs an idle process. */
+const MAX_CHECK_INTERVAL_MS = 1_000;
+/** A wake-up later than this, in milliseconds, means that the process was paused. */
+const PAUSE_THRESHOLD_MS = 1_000;
 
 /**
- * An upstream that crashes cannot say that it is down, so what it announces is a lease. Each
- * change goes out to all processes at once.
+ * Tracks the state of the local endpoint. An upstream that crashes cannot announce that it is
+ * down, so its announcements expire unless repeated. Each change is published to all processes
+ * immediately.
  */
 export class EndpointLease {
   #last: Announcement | undefined;
@@ -42,20 +43,20 @@
 
   #refusedUntil = 0;
 
-  #isLeaving = false;
+  #isStopping = false;
 
   #drain: Drain | undefined;
 
-  /** Whether one `ready` is not enough to be believed. */
-  #isDoubted = false;
+  /** Whether the next `ready` announcement needs a second one to confirm it. */
+  #needsConfirmation = false;
 
-  /** Announcements that came before the neighbours were heard. */
-  #held: Announcement[] | undefined;
+  /** Announcements received between `hold` and `release`; undefined when not holding. */
+  #buffered: Announcement[] | undefined;
 
-  /** Called with each drain, and whether it is that of the endpoint beside. */
-  onDrain: (life: Life, isBeside: boolean) => void = () => {};
+  /** Called with each drain, and whether it applies to the current run of the local endpoint. */
+  onDrain: (run: Life, isLocal: boolean) => void = () => {};
 
-  /** Whether the others hear of its version; only roll-outs need it. */
+  /** Whether the version of the upstream is published; only rollouts need it. */
   tellsVersion = false;
 
   readonly #listeners = new Set<(announcement: Announcement) => void>();
@@ -63,117 +64,118 @@
   constructor(
     private readonly roster: Roster,
     private readonly clock: Clock,
-    private readonly leaseMs: number = LEASE_MS,
+    private readonly leaseMs: number = DEFAULT_LEASE_MS,
   ) {}
 
-  /** Whether anything was announced so far. */
+  /** Whether any announcement has been received. */
   get isKnown(): boolean {
-    return this.#last !== undefined || (this.#held?.length ?? 0) > 0;
+    return this.#last !== undefined || (this.#buffered?.length ?? 0) > 0;
   }
 
-  /** Calls `listener` with each announcement taken, and with the state `down` if it ends. */
+  /** Calls `listener` with each accepted announcement, and with state `down` at a lease's end. */
   onTaken(listener: (announcement: Announcement) => void): void {
     this.#listeners.add(listener);
   }
 
   /**
-   * Takes an announcement and renews the lease. One that was held up on its way, and overtaken by
-   * a later one or by a new life at the same address, would bring back what is leaving: it changes
-   * nothing.
+   * Handles an announcement and renews the lease. An announcement that was delayed until after a
+   * later one, or until after the start of a new run at the same address, is ignored: it would
+   * make a draining endpoint ready again.
    */
   take(announcement: Announcement): void {
-    if (this.#held) {
-      this.#held.push(announcement);
+    if (this.#buffered) {
+      this.#buffered.push(announcement);
       return;
     }
-    if (this.#last && isOvertaken(announcement, this.#last)) return;
-    if (this.#drain && isBound(announcement, this.#drain)) return;
+    if (this.#last && isOutdated(announcement, this.#last)) return;
+    if (this.#drain && isCoveredBy(announcement, this.#drain)) return;
     const now = this.clock.now();
     this.#deadline = now + this.leaseMs;
-    if (this.#isDoubted && announcement.state === 'ready') {
-      this.#isDoubted = this.#last === undefined;
-      if (this.#isDoubted) {
+    if (this.#needsConfirmation && announcement.state === 'ready') {
+      this.#needsConfirmation = this.#last === undefined;
+      if (this.#needsConfirmation) {
         this.#set({ ...announcement, state: 'draining' });
         return;
       }
     }
-    // An upstream that is dying may still announce itself while its port refuses.
+    // A crashing upstream may still send announcements while its port refuses connections.
     const isRefusing = now < this.#refusedUntil && announcement.state === 'ready';
     this.#set(isRefusing ? { ...announcement, state: 'down' } : announcement);
   }
 
   /**
-   * From now on the endpoint drains, whatever is announced: the upstream instance may still call
-   * itself ready while the process beside it stops.
+   * Publishes the endpoint as draining from now on, whatever is announced: the upstream instance
+   * may still report itself ready while this process stops.
    */
   leave(): void {
-    this.#isLeaving = true;
+    this.#isStopping = true;
     if (this.#last) this.#set(this.#last);
   }
 
-  /** Takes note that an upstream instance leaves for good: it drains, whatever it says later. */
-  depart(life: Life): void {
+  /** Drains an upstream instance that is leaving permanently, whatever that run announces later. */
+  depart(run: Life): void {
     const last = this.#last;
-    const born = life.born ?? (last?.id === life.id ? last.born : undefined);
-    this.recall({ id: life.id, ...(born !== undefined && { born }) });
+    const born = run.born ?? (last?.id === run.id ? last.born : undefined);
+    this.applyDrain({ id: run.id, ...(born !== undefined && { born }) });
   }
 
-  /** Is bound by what the upstream instance beside said when it left, here or to an earlier process. */
-  recall(drain: Drain): void {
+  /** Applies a drain that the local upstream instance announced here or to the previous process. */
+  applyDrain(drain: Drain): void {
     this.#drain = drain;
     const last = this.#last;
-    const isBeside = last !== undefined && isBound(last, drain);
-    this.onDrain(drain, isBeside);
-    if (!isBeside) return;
+    const isLocal = last !== undefined && isCoveredBy(last, drain);
+    this.onDrain(drain, isLocal);
+    if (!isLocal) return;
     this.#deadline = Infinity;
     this.#set({ ...last, state: 'draining' });
   }
 
   /**
-   * The endpoint has declined a look, after a start of this process: it may have told the one before
-   * that it drains, and nobody is left who knows. One report that it is ready may have been held up
-   * on its way; it is believed with the next, which an endpoint that does take work sends soon.
+   * Requires two `ready` announcements before the endpoint is published as ready. Called when its
+   * health check declines work after a start of this process: it may have announced a drain to the
+   * previous process, and no other process may know. A single `ready` may be a delayed one; an
+   * endpoint that does accept work soon sends the next.
    */
   doubt(): void {
-    this.#isDoubted = true;
+    this.#needsConfirmation = true;
     if (this.#last?.state === 'ready') this.#set({ ...this.#last, state: 'draining' });
   }
 
   /**
-   * Takes no announcement until `release`. A process that starts does not know yet what was said to
-   * the one before it; a report that was held up on its way would bring back what drains already.
+   * Buffers announcements until `release`. A process that has just started does not know yet which
+   * drains the previous process received; a late announcement would make a draining endpoint ready.
    */
   hold(): void {
-    this.#held ??= [];
+    this.#buffered ??= [];
   }
 
-  /** Takes what came meanwhile, and whatever comes from now on. */
+  /** Handles the buffered announcements, and from now on each one as it arrives. */
   release(): void {
-    const held = this.#held ?? [];
-    this.#held = undefined;
-    for (const announcement of held) this.take(announcement);
+    const buffered = this.#buffered ?? [];
+    this.#buffered = undefined;
+    for (const announcement of buffered) this.take(announcement);
   }
 
-  /** Ends the lease at once: a connection to the upstream instance was refused. */
+  /** Ends the lease immediately because a connection to the upstream instance was refused. */
   refused(): void {
-    this.#refusedUntil = this.clock.now() + REFUSED_MS;
+    this.#refusedUntil = this.clock.now() + REFUSAL_HOLDOFF_MS;
     this.#end();
   }
 
-  /** Ends the lease when announcements stay away, until the signal aborts. */
+  /** Ends the lease when it is not renewed in time; runs until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const wakeAt = Math.min(this.clock.now() + CHECK_EVERY_MS, this.#due);
+      const wakeAt = Math.min(this.clock.now() + MAX_CHECK_INTERVAL_MS, this.#nextExpiry);
       await this.clock.sleepUntil(wakeAt, signal);
       const now = this.clock.now();
-      // After a pause of this process the announcements of that time are still unread.
-      if (now - wakeAt > PAUSED_MS) this.#deadline = now + this.leaseMs;
+      // Announcements sent while this process was paused have not been read yet.
+      if (now - wakeAt > PAUSE_THRESHOLD_MS) this.#deadline = now + this.leaseMs;
       if (now >= this.#deadline && !signal.aborted) this.#end();
     }
   }
 
-  /** When the lease runs out; never while there is none. */
-  get #due(): number {
+  /** Instant at which the lease expires; `Infinity` if there is none. */
+  get #nextExpiry(): number {
     return this.#last && this.#last.state !== 'down' ? this.#deadline : Infinity;
   }
 
@@ -187,16 +189,16 @@
     for (const listener of this.#listeners) listener(announcement);
     const { upstream, slots } = announcement;
     const version = this.tellsVersion ? announcement.version : undefined;
-    const isDraining = this.#isLeaving && announcement.state !== 'down';
+    const isDraining = this.#isStopping && announcement.state !== 'down';
     const state = isDraining ? 'draining' : announcement.state;
-    const drain = this.#drainIn(announcement);
-    const held = this.roster.self.endpoint;
+    const drain = this.#drainToPublish(announcement);
+    const published = this.roster.self.endpoint;
     const isSame =
-      held?.upstream === upstream &&
-      held.state === state &&
-      held.slots === slots &&
-      held.version === version &&
-      (held.drain === undefined) === (drain === undefined);
+      published?.upstream === upstream &&
+      published.state === state &&
+      published.slots === slots &&
+      published.version === version &&
+      (published.drain === undefined) === (drain === undefined);
     if (isSame) return;
     this.roster.announce({
       upstream,
@@ -207,27 +209,33 @@
     });
   }
 
-  /** What binds a process that starts here after this one; nothing that no later word could undo. */
-  #drainIn(announcement: Announcement): Drain | undefined {
+  /**
+   * The drain that the successor of this process has to apply; undefined if no later announcement
+   * could be told from an earlier one and so end it.
+   */
+  #drainToPublish(announcement: Announcement): Drain | undefined {
     const { state, id, born, sequence } = announcement;
     if (state !== 'draining' || id === undefined) return undefined;
-    if (this.#drain && isBound(announcement, this.#drain)) return this.#drain;
+    if (this.#drain && isCoveredBy(announcement, this.#drain)) return this.#drain;
     if (sequence === undefined) return undefined;
     return { id, sequence, ...(born !== undefined && { born }) };
   }
 }
 
-/** Whether it is of the life that drains, and not said after that. What is unknown counts as alike. */
-function isBound({ id, born, sequence }: Announcement, drain: Drain): boolean {
+/**
+ * Whether an announcement is of the run that drains and does not come after the drain. Start times
+ * and sequences that are unknown count as matching.
+ */
+function isCoveredBy({ id, born, sequence }: Announcement, drain: Drain): boolean {
   if (id !== drain.id) return false;
   if (born !== undefined && drain.born !== undefined && born !== drain.born) return false;
   return sequence === undefined || drain.sequence === undefined || sequence <= drain.sequence;
 }
 
-/** Whether `held` is of a later life, or was said later in the same one. */
-function isOvertaken(announcement: Announcement, held: Announcement): boolean {
+/** Whether `last` is of a later run, or later in the same run. */
+function isOutdated(announcement: Announcement, last: Announcement): boolean {
   const { born, sequence } = announcement;
-  if (born !== undefined && held.born !== undefined && born !== held.born) return born < held.born;
-  if (announcement.id !== held.id) return false;
-  return sequence !== undefined && held.sequence !== undefined && sequence <= held.sequence;
+  if (born !== undefined && last.born !== undefined && born !== last.born) return born < last.born;
+  if (announcement.id !== last.id) return false;
+  return sequence !== undefined && last.sequence !== undefined && sequence <= last.sequence;
 }
--- a/src/membership/drains.ts
+++ b/src/membership/drains.ts
@@ -1,4 +1,4 @@
-/** Keeps what upstream instances said when they left, for processes that start beside them again. */
+/** Remembers the drains of upstream instances for processes that restart next to them. */
 import { type Drain, type Member } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { DRAIN } from '../distribution/methods.js';
@@ -8,25 +8,26 @@
 import { type EndpointLease } from './announcement.js';
 import { type Roster } from './roster.js';
 
-/** How long a process that starts waits for the word of a neighbour at most, in milliseconds. */
-const HOLD_MS = 1_000;
-const ASK_TIMEOUT_MS = 1_000;
-/** Neighbours whose word is enough. */
-const ENOUGH_ANSWERS = 3;
-/** Drains kept at most; at the design size every endpoint several times over. */
+/** How long a starting process waits for the answer of a neighbour at most, in milliseconds. */
+const MAX_HOLD_MS = 1_000;
+const QUERY_TIMEOUT_MS = 1_000;
+/** Number of answers after which no more neighbours are asked. */
+const SUFFICIENT_ANSWERS = 3;
+/** Maximum number of drains stored, one per endpoint; several times the design size. */
 const MAX_DRAINS = 4_096;
 
 /**
- * A process that acknowledges a drain is bound by it, and so is the one that starts there after
- * it, which has heard nothing: a late report, or a health check that lies, would bring the endpoint
- * back and callers would be cut as it exits. All others have heard of the drain, so it asks them.
+ * A process that has acknowledged a drain must not publish the endpoint as ready again, and neither
+ * must its successor, which has not received the drain. A delayed announcement or a wrong health
+ * check would make the endpoint ready, and callers would be cut off when it exits. Since the drain
+ * is part of the member record, all other processes know it, and the successor asks its neighbours.
  */
 export class Drains {
-  readonly #kept = new Map<string, Drain>();
+  readonly #drains = new Map<string, Drain>();
 
   readonly #answered = new AbortController();
 
-  #answers = 0;
+  #answerCount = 0;
 
   constructor(
     private readonly roster: Roster,
@@ -36,37 +37,37 @@
     methods: Methods,
   ) {
     lease.hold();
-    roster.onNews((members) => members.forEach((member) => this.#keep(member)));
-    mesh.onOpen((peer) => void this.#ask(peer));
+    roster.onNews((members) => members.forEach((member) => this.#store(member)));
+    mesh.onOpen((peer) => void this.#query(peer));
     methods.on(DRAIN, (_, { instance }) => {
-      const drain = this.#kept.get(instance);
+      const drain = this.#drains.get(instance);
       return drain ? { drain } : {};
     });
   }
 
-  /** Lets announcements in once a neighbour was heard, or when none can be. */
+  /** Releases held announcements once a neighbour has answered, or after `MAX_HOLD_MS`. */
   async run(signal: AbortSignal): Promise<void> {
     const ended = AbortSignal.any([signal, this.#answered.signal]);
-    await this.clock.sleepUntil(this.clock.now() + HOLD_MS, ended);
+    await this.clock.sleepUntil(this.clock.now() + MAX_HOLD_MS, ended);
     this.lease.release();
   }
 
-  #keep({ instance, endpoint }: Member): void {
+  #store({ instance, endpoint }: Member): void {
     if (!endpoint?.drain || instance === this.roster.self.instance) return;
-    setLatest(this.#kept, instance, endpoint.drain, MAX_DRAINS);
+    setLatest(this.#drains, instance, endpoint.drain, MAX_DRAINS);
   }
 
-  async #ask(peer: Peer): Promise<void> {
-    if (this.#answers >= ENOUGH_ANSWERS) return;
+  async #query(peer: Peer): Promise<void> {
+    if (this.#answerCount >= SUFFICIENT_ANSWERS) return;
     const { instance } = this.roster.self;
     try {
-      const deadline = this.clock.now() + ASK_TIMEOUT_MS;
+      const deadline = this.clock.now() + QUERY_TIMEOUT_MS;
       const { drain } = await peer.request(DRAIN, { instance }, deadline);
-      this.#answers += 1;
-      if (drain) this.lease.recall(drain);
+      this.#answerCount += 1;
+      if (drain) this.lease.applyDrain(drain);
       this.#answered.abort();
     } catch {
-      // Another neighbour may tell; a process of an earlier release knows no such question.
+      // Another neighbour may answer; processes of earlier releases do not know this method.
     }
   }
 }
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -1,24 +1,24 @@
-/** Heartbeats on all links, and what they tell: silence and differing rosters. */
+/** Heartbeats on all links, by which silent links and differing rosters are detected. */
 import { type Mesh } from '../distribution/mesh.js';
 import { HEARTBEAT } from '../distribution/methods.js';
 import { type Replica } from '../distribution/replica.js';
 import { type Methods, notifyAll, type Peer } from '../link/peer.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { News } from './news.js';
+import { Dissemination } from './news.js';
 import { Reconciliation } from './reconciliation.js';
 import { Retention } from './retention.js';
 import { type Roster } from './roster.js';
 import { Suspicions } from './suspicions.js';
 
-/** A link on which nothing was heard for so many heartbeats is closed. */
+/** A link is closed after this many heartbeat intervals without a message. */
 const SILENT_HEARTBEATS = 4;
 
-/** Waking up so much too late is told, in milliseconds. */
-const LATE_MS = 200;
+/** Wake-ups later than this are reported, in milliseconds. */
+const LATE_WAKE_UP_MS = 200;
 
 export class GossipTask {
-  readonly news: News;
+  readonly news: Dissemination;
 
   readonly suspicions: Suspicions;
 
@@ -26,7 +26,7 @@
 
   readonly #retention: Retention;
 
-  /** Called when this process has woken up much too late. */
+  /** Called when this process wakes up much too late, with the delay in milliseconds. */
   onLate: (lateMs: number) => void = () => {};
 
   constructor(
@@ -38,44 +38,44 @@
     private readonly heartbeatMs: number,
     methods: Methods,
   ) {
-    this.news = new News(roster, mesh, clock, random, methods);
+    this.news = new Dissemination(roster, mesh, clock, random, methods);
     this.suspicions = new Suspicions(roster, clock);
     this.reconciliation = new Reconciliation(roster, mesh, clock, random, methods);
     this.#retention = new Retention(roster, clock);
   }
 
-  /** Sends heartbeats and judges silence until the signal aborts. */
+  /** Sends heartbeats, closes silent links and expires suspicions until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    const judging = this.suspicions.run(signal);
+    const expiring = this.suspicions.run(signal);
     let wasPaused = false;
     while (!signal.aborted) {
-      if (!wasPaused) this.#closeSilent();
-      this.#beat();
+      if (!wasPaused) this.#closeSilentLinks();
+      this.#sendHeartbeat();
       this.#retention.sweep();
       const wakeAt = this.clock.now() + this.heartbeatMs;
       await this.clock.sleepUntil(wakeAt, signal);
-      // After a pause of its own a process has heard nobody, and what was sent meanwhile is still
-      // unread: it would close all its links at once. One round later, silence is theirs.
+      // After this process was paused, messages sent meanwhile are still unread, and all links look
+      // silent. They are checked again one round later.
       const lateMs = Math.round(this.clock.now() - wakeAt);
-      if (lateMs > LATE_MS) this.onLate(lateMs);
+      if (lateMs > LATE_WAKE_UP_MS) this.onLate(lateMs);
       wasPaused = lateMs > this.heartbeatMs;
     }
-    await judging;
+    await expiring;
   }
 
-  /** Notes a neighbour's roster; called with each heartbeat that comes in. */
+  /** Compares the roster hash of a neighbour; called with each heartbeat received. */
   compare(peer: Peer, hash: string): void {
     this.reconciliation.compare(peer, hash);
   }
 
-  #closeSilent(): void {
+  #closeSilentLinks(): void {
     const silentSince = this.clock.now() - SILENT_HEARTBEATS * this.heartbeatMs;
     for (const peer of this.mesh.peers) {
-      if (peer.lastHeard < silentSince) peer.link.close();
+      if (peer.lastMessageAt < silentSince) peer.link.close();
     }
   }
 
-  #beat(): void {
+  #sendHeartbeat(): void {
     const { number: version, digest } = this.replica.current;
     const roster = this.roster.hash;
     notifyAll(this.mesh.peers, HEARTBEAT, { version, digest, roster });
--- a/src/membership/news.ts
+++ b/src/membership/news.ts
@@ -1,4 +1,4 @@
-/** Spreads statements that are news, to those neighbours that do not know them yet. */
+/** Sends changed member records to the neighbours that do not have them yet. */
 import { type Member } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { GOSSIP } from '../distribution/methods.js';
@@ -9,28 +9,29 @@
 import { isNewer } from './statement.js';
 
 /**
- * News is gathered for so long at least and as long again at most, in milliseconds. Were it the
- * same everywhere, neighbours would send each other the same news at the same moment.
+ * Records are batched for this long, plus up to as much jitter, in milliseconds. Without jitter,
+ * neighbours would send each other the same records at the same moment.
  */
-const GATHER_MS = 10;
+const BATCH_DELAY_MS = 10;
 
-/** A statement that waits to be sent. */
-interface Item {
+/** A member record waiting to be sent. */
+interface PendingRecord {
   readonly member: Member;
-  /** Instances that have sent it themselves. */
-  readonly knownTo: Set<string>;
+  /** Instances that have sent this record, or a newer one, themselves. */
+  readonly knownBy: Set<string>;
 }
 
 /**
- * Each statement crosses a link once each way at most: it is sent on only when it is news, and
- * not to the neighbour it came from. So a change costs each process its number of links at most.
+ * Each record crosses a link at most once each way: it is forwarded only when it changes the
+ * roster, and not to the neighbour it came from. So a change costs a process at most one message
+ * per link.
  */
-export class News {
+export class Dissemination {
   #sent = 0;
 
   #received = 0;
 
-  #items = new Map<string, Item>();
+  #pending = new Map<string, PendingRecord>();
 
   #flushing: Promise<void> | undefined;
 
@@ -41,23 +42,26 @@
     private readonly random: Random,
     methods: Methods,
   ) {
-    roster.onNews((members, origin) => this.#gather(members, origin));
-    methods.on(GOSSIP, (peer, { members }) => this.#take(peer, members));
+    roster.onNews((members, origin) => this.#enqueue(members, origin));
+    methods.on(GOSSIP, (peer, { members }) => this.#receive(peer, members));
   }
 
-  /** Messages sent. */
+  /** Number of messages sent. */
   get sent(): number {
     return this.#sent;
   }
 
-  /** Messages received. */
+  /** Number of messages received. */
   get received(): number {
     return this.#received;
   }
 
-  /** Sends what waits and resolves when `enough` neighbours, or all, have it, or at the deadline. */
-  async settle(deadline: number, enough = Infinity): Promise<void> {
-    const items = this.#drain();
+  /**
+   * Sends the pending records; resolves when `minConfirmed` neighbours, or all of them, have
+   * confirmed, or at the deadline.
+   */
+  async settle(deadline: number, minConfirmed = Infinity): Promise<void> {
+    const items = this.#takePending();
     let confirmed = 0;
     const isEnough = new AbortController();
     const sending = this.mesh.peers.map(async (peer) => {
@@ -66,27 +70,27 @@
       this.#sent += 1;
       await peer.request(GOSSIP, { members }, deadline);
       confirmed += 1;
-      if (confirmed >= enough) isEnough.abort();
+      if (confirmed >= minConfirmed) isEnough.abort();
     });
     await Promise.race([Promise.allSettled(sending), aborted(isEnough.signal)]);
   }
 
-  #gather(members: readonly Member[], origin: Origin): void {
+  #enqueue(members: readonly Member[], origin: Origin): void {
     for (const member of members) {
-      // What became news as a refutation is not what the neighbour has sent.
+      // A refutation of its own differs from the record that the neighbour sent.
       const isOwn = member.instance === this.roster.self.instance;
       if (origin.isBulk && !isOwn) continue;
       const knownTo = new Set(origin.instance === undefined || isOwn ? [] : [origin.instance]);
-      this.#items.set(member.instance, { member, knownTo });
+      this.#pending.set(member.instance, { member, knownBy: knownTo });
     }
-    if (this.#items.size > 0) this.#flushing ??= this.#flushLater();
+    if (this.#pending.size > 0) this.#flushing ??= this.#flushLater();
   }
 
   async #flushLater(): Promise<void> {
-    const wait = GATHER_MS + this.random.jitter(GATHER_MS);
+    const wait = BATCH_DELAY_MS + this.random.jitter(BATCH_DELAY_MS);
     await this.clock.sleepUntil(this.clock.now() + wait);
     this.#flushing = undefined;
-    const items = this.#drain();
+    const items = this.#takePending();
     for (const peer of this.mesh.peers) {
       const members = unknownTo(peer, items);
       if (members.length === 0) continue;
@@ -95,27 +99,27 @@
     }
   }
 
-  #drain(): readonly Item[] {
-    const items = [...this.#items.values()];
-    this.#items = new Map();
+  #takePending(): readonly PendingRecord[] {
+    const items = [...this.#pending.values()];
+    this.#pending = new Map();
     return items;
   }
 
-  #take(peer: Peer, members: readonly Member[]): void {
+  #receive(peer: Peer, members: readonly Member[]): void {
     this.#received += 1;
     const instance = peer.member?.instance;
     if (instance === undefined) return;
     for (const member of members) {
-      const item = this.#items.get(member.instance);
-      if (item && !isNewer(item.member, member)) item.knownTo.add(instance);
+      const item = this.#pending.get(member.instance);
+      if (item && !isNewer(item.member, member)) item.knownBy.add(instance);
     }
     this.roster.merge(members, { instance });
   }
 }
 
-function unknownTo(peer: Peer, items: readonly Item[]): Member[] {
+function unknownTo(peer: Peer, items: readonly PendingRecord[]): Member[] {
   const instance = peer.member?.instance ?? '';
-  return items.filter(({ knownTo }) => !knownTo.has(instance)).map(({ member }) => member);
+  return items.filter(({ knownBy: knownTo }) => !knownTo.has(instance)).map(({ member }) => member);
 }
 
 function aborted(signal: AbortSignal): Promise<void> {
--- a/src/membership/pace.ts
+++ b/src/membership/pace.ts
@@ -1,45 +1,48 @@
-/** How soon a process that starts looks for others, and at what cost in calls to the platform. */
+/** Timing of membership: how soon a process finds peers and how often it calls the platform. */
 export interface Pace {
-  /** How long a process that finds nobody waits before it takes itself for the only one, in ms. */
+  /** How long a process without links waits before it assumes that it is alone, in milliseconds. */
   readonly acquaintMs: number;
-  /** How long the rosters of the first peers take to come in, in milliseconds. */
+  /** Time allowed for the rosters of the first peers to arrive, in milliseconds. */
   readonly rosterMs: number;
   /** First window in which a process without links reads the directory, in milliseconds. */
   readonly lookupWindowMs: number;
-  /** First look of a root at its registration; as much again is jitter, in milliseconds. */
-  readonly firstLookMs: number;
-  /** Pace of its later looks, in milliseconds. */
-  readonly lookEveryMs: number;
-  /** Calls to the platform for membership by one process, per second. */
+  /** Wait before a root first checks the directory, in milliseconds, plus up to as much jitter. */
+  readonly firstCheckMs: number;
+  /** Interval of its later checks, in milliseconds. */
+  readonly checkIntervalMs: number;
+  /** Directory calls that one process may make to the platform, per second. */
   readonly callsPerSecond: number;
-  /** Cap of the jittered wait between two looks whether the process may be ready, in milliseconds. */
+  /** Cap of the jittered wait between two readiness checks, in milliseconds. */
   readonly readinessMs: number;
-  /** How long one watch on the source waits; one gone silent costs this long at most, in ms. */
+  /** Timeout of a watch on the source, so the longest delay by a silent one, in milliseconds. */
   readonly watchMs: number;
-  /** Whether a process that starts reads the source itself, and takes neighbours' word for it. */
+  /**
+   * Whether a starting process reads the source itself immediately, and may be ready as soon as a
+   * ready neighbour holds no newer version.
+   */
   readonly isEager: boolean;
 }
 
-/** For fleets that start over minutes, beside a platform whose calls are scarce. */
+/** For fleets that start over minutes, with a platform that allows few calls. */
 export const STEADY: Pace = {
   acquaintMs: 500,
   rosterMs: 300,
   lookupWindowMs: 8_000,
-  firstLookMs: 8_000,
-  lookEveryMs: 10_000,
+  firstCheckMs: 8_000,
+  checkIntervalMs: 10_000,
   callsPerSecond: 0.125,
   readinessMs: 300,
   watchMs: 10_000,
   isEager: false,
 };
 
-/** For processes that take requests seconds after their start, or after a herd has died. */
+/** For processes that take requests seconds after their start or after a mass failure. */
 export const PROMPT: Pace = {
   acquaintMs: 200,
   rosterMs: 50,
   lookupWindowMs: 300,
-  firstLookMs: 1_000,
-  lookEveryMs: 5_000,
+  firstCheckMs: 1_000,
+  checkIntervalMs: 5_000,
   callsPerSecond: 1,
   readinessMs: 50,
   watchMs: 2_500,
--- a/src/membership/ranking.ts
+++ b/src/membership/ranking.ts
@@ -1,16 +1,16 @@
-/** Who does what in a data centre: every process works it out alike from its roster. */
+/** Roles in a data centre, which every process derives from its roster in the same way. */
 import { createHash } from 'node:crypto';
 import { type Member } from '../contracts.js';
 import { type Roster } from './roster.js';
 
-/** Processes of a data centre that hold a watch on the platform. */
+/** Number of processes of a data centre that watch the platform. */
 export const READERS = 2;
-/** Members after oneself on the ring to which a link is kept. */
+/** Number of next members on the ring to which a process keeps a link. */
 const SUCCESSORS = 2;
-/** Members of a ring to which one process dials at most, however many are suspects. */
-const MAX_WATCHED = 64;
-/** Hashes of instances kept between changes; several times a fleet. */
-const MAX_WEIGHTS = 4_096;
+/** Maximum number of ring members that one process dials, however many are suspects. */
+const MAX_MONITORED = 64;
+/** Maximum number of cached instance hashes; several times the size of a fleet. */
+const MAX_CACHED_HASHES = 4_096;
 
 /** Live members of one data centre by rank. */
 interface Group {
@@ -18,11 +18,12 @@
   readonly ranks: ReadonlyMap<string, number>;
 }
 
-const NOBODY: Group = { members: [], ranks: new Map() };
+const EMPTY_GROUP: Group = { members: [], ranks: new Map() };
 
 /**
- * Ranks live members by a hash of their instance (rendezvous): a member that comes or goes moves
- * few others. Rank 0 is the root of the data centre's tree, and the first `READERS` ranks read.
+ * Ranks live members by a hash of their instance, so that a member that joins or leaves changes the
+ * place of few others. Rank 0 is the root of the data centre's tree; the first
+ * `READERS_PER_DATA_CENTRE` ranks are its readers.
  */
 export class Ranking {
   #topology = -1;
@@ -31,7 +32,7 @@
 
   #neighbours: readonly Member[] | undefined;
 
-  readonly #weights = new Map<string, string>();
+  readonly #hashes = new Map<string, string>();
 
   constructor(
     private readonly roster: Roster,
@@ -58,7 +59,7 @@
     return rank >= 0 && rank < READERS;
   }
 
-  /** Place of this process among the readers of all data centres; -1 if it is none. */
+  /** Index of this process among the readers of all data centres; -1 if it is no reader. */
   get readerPlace(): number {
     if (!this.isReader) return -1;
     return this.dataCentres().indexOf(this.roster.self.dataCentre) * READERS + this.#ownRank;
@@ -68,7 +69,7 @@
     return this.#ownRank === 0;
   }
 
-  /** Whether this process has the tasks that one process of the whole fleet does. */
+  /** Whether this process does the tasks that a single process does for the whole fleet. */
   get isFirst(): boolean {
     return this.isRoot && this.dataCentres()[0] === this.roster.self.dataCentre;
   }
@@ -76,17 +77,17 @@
   /** The member that pushes to this one. */
   get parent(): Member | undefined {
     const rank = this.#ownRank;
-    return rank <= 0 ? undefined : this.#own.members[Math.floor((rank - 1) / this.fanout)];
+    return rank <= 0 ? undefined : this.#ownGroup.members[Math.floor((rank - 1) / this.fanout)];
   }
 
   /** The members that this one pushes to. */
   get children(): readonly Member[] {
     const rank = this.#ownRank;
     if (rank < 0) return [];
-    return this.#own.members.slice(rank * this.fanout + 1, (rank + 1) * this.fanout + 1);
+    return this.#ownGroup.members.slice(rank * this.fanout + 1, (rank + 1) * this.fanout + 1);
   }
 
-  /** All members of a data centre's tree that hang below one of them. */
+  /** All members below `instance` in the tree of a data centre. */
   descendants(dataCentre: string, instance: string): readonly Member[] {
     const { members: ranked, ranks } = this.#group(dataCentre);
     const rank = ranks.get(instance);
@@ -100,14 +101,14 @@
     return found;
   }
 
-  /** The members to which this process keeps a link of its own making. */
+  /** The members to which this process opens and keeps a link. */
   get neighbours(): readonly Member[] {
     this.#refresh();
     this.#neighbours ??= this.#neighboursOf(this.roster.self);
     return this.#neighbours;
   }
 
-  /** Whether a link to `instance` serves either end, as far as this process can tell. */
+  /** Whether this process or `instance` needs a link between them, according to this roster. */
   needsLink(instance: string): boolean {
     if (this.neighbours.some((member) => member.instance === instance)) return true;
     const other = this.roster.get(instance);
@@ -116,7 +117,7 @@
     return this.#neighboursOf(other).some((member) => member.instance === own);
   }
 
-  /** A member's parent, its successors on the ring and, for a reader, the other roots. */
+  /** Parent and ring successors of a member and, if it is a reader, other data centres' roots. */
   #neighboursOf(member: Member): Member[] {
     const { members, ranks } = this.#group(member.dataCentre);
     const rank = ranks.get(member.instance);
@@ -124,27 +125,27 @@
     const wanted = new Set<Member>();
     if (rank > 0) wanted.add(members[Math.floor((rank - 1) / this.fanout)]!);
     const ring = [...members.slice(rank + 1), ...members.slice(0, rank)];
-    for (const successor of watched(ring, SUCCESSORS)) wanted.add(successor);
+    for (const successor of monitored(ring, SUCCESSORS)) wanted.add(successor);
     if (rank < READERS) {
       for (const [dataCentre, group] of this.#groups) {
         if (dataCentre === member.dataCentre) continue;
-        for (const root of watched(group.members, 1)) wanted.add(root);
+        for (const root of monitored(group.members, 1)) wanted.add(root);
       }
     }
     return [...wanted];
   }
 
-  get #own(): Group {
+  get #ownGroup(): Group {
     return this.#group(this.roster.self.dataCentre);
   }
 
   get #ownRank(): number {
-    return this.#own.ranks.get(this.roster.self.instance) ?? -1;
+    return this.#ownGroup.ranks.get(this.roster.self.instance) ?? -1;
   }
 
   #group(dataCentre: string): Group {
     this.#refresh();
-    return this.#groups.get(dataCentre) ?? NOBODY;
+    return this.#groups.get(dataCentre) ?? EMPTY_GROUP;
   }
 
   #refresh(): void {
@@ -159,40 +160,41 @@
     }
     this.#groups = new Map();
     for (const [dataCentre, members] of byDataCentre) {
-      members.sort((a, b) => compare(this.#weight(a), this.#weight(b)));
+      members.sort((a, b) => compare(this.#hashOf(a), this.#hashOf(b)));
       const ranks = new Map(members.map(({ instance }, rank) => [instance, rank]));
       this.#groups.set(dataCentre, { members, ranks });
     }
   }
 
-  #weight({ instance }: Member): string {
-    let weight = this.#weights.get(instance);
+  #hashOf({ instance }: Member): string {
+    let weight = this.#hashes.get(instance);
     if (weight === undefined) {
-      // Instances are replaced all the time; those of the past must not pile up here.
-      if (this.#weights.size > MAX_WEIGHTS) this.#weights.clear();
+      // Instances are replaced continually; without a bound, hashes of old ones would accumulate.
+      if (this.#hashes.size > MAX_CACHED_HASHES) this.#hashes.clear();
       weight = createHash('sha1').update(instance).digest('hex');
-      this.#weights.set(instance, weight);
+      this.#hashes.set(instance, weight);
     }
     return weight;
   }
 }
 
 /**
- * The first members of `ring`, until `count` among them are alive. When a herd dies, the monitors
- * of a member die with it, and two successors at a time would find out about the rest for
- * minutes. So for each suspect met, one more member is watched: the number of those found doubles
- * with each round, and the links to members that turn out to be alive are closed again later.
+ * The first members of `ring` until enough of them are alive: at least `count`, and as many as
+ * there are suspects among them. In a mass failure, the monitors of a member may fail with it, and
+ * detecting the rest two successors at a time would take minutes. With one more monitored member
+ * for each suspect, the number detected doubles with each round. Links to members that turn out to
+ * be alive are closed again later.
  */
-function watched(ring: readonly Member[], count: number): Member[] {
+function monitored(ring: readonly Member[], count: number): Member[] {
   let alive = 0;
   let suspects = 0;
-  const enough = ring.findIndex((member) => {
+  const last = ring.findIndex((member) => {
     if (member.liveness === 'suspect') suspects += 1;
     else alive += 1;
     return alive >= Math.max(count, suspects);
   });
-  const end = enough < 0 ? ring.length : enough + 1;
-  return ring.slice(0, Math.min(end, MAX_WATCHED));
+  const end = last < 0 ? ring.length : last + 1;
+  return ring.slice(0, Math.min(end, MAX_MONITORED));
 }
 
 function compare(a: string, b: string): number {
--- a/src/membership/reconciliation.ts
+++ b/src/membership/reconciliation.ts
@@ -1,4 +1,4 @@
-/** Makes the rosters of two neighbours equal by exchanging only what differs. */
+/** Anti-entropy: makes the rosters of two neighbours equal, exchanging only differing records. */
 import { type Member, type RosterDifference, type RosterEntry } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { EXCHANGE, RECONCILE } from '../distribution/methods.js';
@@ -9,30 +9,30 @@
 import { type Roster } from './roster.js';
 import { isGone } from './statement.js';
 
-/** Rosters that differ for so many heartbeats are reconciled; by the end that dialled, first. */
+/** Differing heartbeats until the dialling end reconciles; the other end waits twice as long. */
 const DIFFERING_HEARTBEATS = 2;
 const TIMEOUT_MS = 2_000;
-/** A process begins one reconciliation in this time at most, in milliseconds, plus jitter. */
-const EVERY_MS = 500;
-/** Statements handed out per second, and at once: a herd that joins takes what is left later. */
-const STATEMENTS_PER_SECOND = 2_000;
-const STATEMENTS_AT_ONCE = 2_000;
-/** So many members unknown before are a roster, which neighbours fetch for themselves. */
-const BULK = 16;
+/** Shortest time between two reconciliations started here, in ms, plus up to as much jitter. */
+const MIN_INTERVAL_MS = 500;
+/** Rate and burst of records sent; when many processes join at once, the rest follows later. */
+const RECORDS_PER_SECOND = 2_000;
+const RECORD_BURST = 2_000;
+/** With more new members than this, records count as a roster, which neighbours reconcile for. */
+const BULK_THRESHOLD = 16;
 
 export class Reconciliation {
-  #begun = 0;
+  #started = 0;
 
   #isBusy = false;
 
   #notBefore = 0;
 
-  /** Whether a roster was fetched from anybody. */
+  /** Whether a reconciliation that this process started has succeeded. */
   #hasJoined = false;
 
-  readonly #differing = new WeakMap<Peer, number>();
+  readonly #differingHeartbeats = new WeakMap<Peer, number>();
 
-  readonly #statements: TokenBucket;
+  readonly #recordBudget: TokenBucket;
 
   constructor(
     private readonly roster: Roster,
@@ -41,40 +41,41 @@
     private readonly random: Random,
     methods: Methods,
   ) {
-    this.#statements = new TokenBucket(clock, STATEMENTS_PER_SECOND, STATEMENTS_AT_ONCE);
-    mesh.onOpen((peer) => void this.#opened(peer));
+    this.#recordBudget = new TokenBucket(clock, RECORDS_PER_SECOND, RECORD_BURST);
+    mesh.onOpen((peer) => void this.#onLinkOpen(peer));
     methods
       .on(RECONCILE, (_, { buckets }) => this.#difference(buckets))
       .on(EXCHANGE, (peer, { members, wanted }) => {
-        this.#take(peer, members);
-        return { members: this.#hand(wanted) };
+        this.#merge(peer, members);
+        return { members: this.#requestedRecords(wanted) };
       });
   }
 
-  /** Reconciliations begun by this process. */
-  get begun(): number {
-    return this.#begun;
+  /** Number of reconciliations started by this process. */
+  get started(): number {
+    return this.#started;
   }
 
-  /** Notes the roster's hash from a neighbour's heartbeat. */
+  /** Compares the roster hash from a neighbour's heartbeat; reconciles if it keeps differing. */
   compare(peer: Peer, hash: string): void {
     if (hash === this.roster.hash) {
-      this.#differing.delete(peer);
+      this.#differingHeartbeats.delete(peer);
       return;
     }
-    const times = (this.#differing.get(peer) ?? 0) + 1;
-    this.#differing.set(peer, times);
-    const patience = peer.isDialled ? DIFFERING_HEARTBEATS : 2 * DIFFERING_HEARTBEATS;
-    if (times >= patience) void this.#reconcile(peer);
+    const count = (this.#differingHeartbeats.get(peer) ?? 0) + 1;
+    this.#differingHeartbeats.set(peer, count);
+    const threshold = peer.isDialled ? DIFFERING_HEARTBEATS : 2 * DIFFERING_HEARTBEATS;
+    if (count >= threshold) void this.#reconcile(peer);
   }
 
   /**
-   * A process that has joined nobody yet asks at once: until it knows the others it ranks itself
-   * first and reads the platform. A herd of others, which lost a relay, would ask together.
+   * A process that has no roster yet reconciles immediately: until it knows the others, it ranks
+   * itself first and reads the platform. Other processes wait with jitter, because many of them
+   * open links together when a relay fails.
    */
-  async #opened(peer: Peer): Promise<void> {
+  async #onLinkOpen(peer: Peer): Promise<void> {
     if (!peer.isDialled) return;
-    const wait = this.#hasJoined ? this.random.jitter(EVERY_MS) : 0;
+    const wait = this.#hasJoined ? this.random.jitter(MIN_INTERVAL_MS) : 0;
     if (wait > 0) await this.clock.sleepUntil(this.clock.now() + wait, peer.link.closed);
     if (!peer.link.closed.aborted) await this.#reconcile(peer);
   }
@@ -83,14 +84,14 @@
     const now = this.clock.now();
     if (this.#isBusy || now < this.#notBefore) return;
     this.#isBusy = true;
-    this.#begun += 1;
-    this.#notBefore = now + EVERY_MS + this.random.jitter(EVERY_MS);
-    this.#differing.delete(peer);
+    this.#started += 1;
+    this.#notBefore = now + MIN_INTERVAL_MS + this.random.jitter(MIN_INTERVAL_MS);
+    this.#differingHeartbeats.delete(peer);
     try {
       await this.#exchange(peer, now + TIMEOUT_MS);
       this.#hasJoined = true;
     } catch {
-      // The next differing heartbeats try again.
+      // Retried when heartbeats keep differing.
     } finally {
       this.#isBusy = false;
     }
@@ -100,17 +101,17 @@
     const buckets = [...this.roster.digest.buckets];
     const difference = await peer.request(RECONCILE, { buckets }, deadline);
     const wanted = difference.entries.filter((entry) => this.#wants(entry));
-    const members = this.#offers(difference);
+    const members = this.#recordsToSend(difference);
     if (wanted.length + members.length === 0) return;
     const instances = wanted.map(({ instance }) => instance);
     const answer = await peer.request(EXCHANGE, { members, wanted: instances }, deadline);
-    this.#take(peer, answer.members);
+    this.#merge(peer, answer.members);
   }
 
-  #difference(theirs: readonly number[]): RosterDifference {
+  #difference(hashes: readonly number[]): RosterDifference {
     const { digest } = this.roster;
     const buckets = digest.buckets.flatMap((hash, bucket) =>
-      hash === theirs[bucket] ? [] : [bucket],
+      hash === hashes[bucket] ? [] : [bucket],
     );
     const differing = new Set(buckets);
     const entries = this.roster
@@ -126,44 +127,47 @@
     return isGone(member) ? { instance, hash, isGone: true } : { instance, hash };
   }
 
-  /** Of those that are gone, only what contradicts: the rest would never be forgotten. */
+  /**
+   * Whether to request a record. One of a dead or departed member is requested only if another
+   * record of the member is held: exchanged freely, such records would never be forgotten.
+   */
   #wants(entry: RosterEntry): boolean {
-    const held = this.roster.digest.hashOf(entry.instance);
-    return held === undefined ? !entry.isGone : held !== entry.hash;
+    const ownHash = this.roster.digest.hashOf(entry.instance);
+    return ownHash === undefined ? !entry.isGone : ownHash !== entry.hash;
   }
 
-  #offers({ buckets, entries }: RosterDifference): Member[] {
+  #recordsToSend({ buckets, entries }: RosterDifference): Member[] {
     const { digest } = this.roster;
     const differing = new Set(buckets);
-    const theirs = new Map(entries.map(({ instance, hash }) => [instance, hash]));
+    const theirHashes = new Map(entries.map(({ instance, hash }) => [instance, hash]));
     const members = this.roster.all().filter((member) => {
-      const hash = theirs.get(member.instance);
+      const hash = theirHashes.get(member.instance);
       if (hash === undefined && isGone(member)) return false;
-      const isApart = differing.has(digest.bucketOf(member.instance));
-      return isApart && hash !== digest.hashOf(member.instance);
+      const isInDifferingBucket = differing.has(digest.bucketOf(member.instance));
+      return isInDifferingBucket && hash !== digest.hashOf(member.instance);
     });
-    return members.slice(0, this.#statements.takeUpTo(members.length));
+    return members.slice(0, this.#recordBudget.takeUpTo(members.length));
   }
 
-  #hand(wanted: readonly string[]): Member[] {
+  #requestedRecords(wanted: readonly string[]): Member[] {
     const members = wanted.flatMap((instance) => this.roster.get(instance) ?? []);
-    return members.slice(0, this.#statements.takeUpTo(members.length));
+    return members.slice(0, this.#recordBudget.takeUpTo(members.length));
   }
 
-  #take(peer: Peer, members: readonly Member[]): void {
+  #merge(peer: Peer, members: readonly Member[]): void {
     const instance = peer.member?.instance;
     if (instance === undefined) return;
     const unknown = members.filter((member) => !this.roster.get(member.instance)).length;
-    const statements = members.map((member) => this.#soften(member));
-    this.roster.merge(statements, { instance, isBulk: unknown > BULK });
+    const records = members.map((member) => this.#deadToSuspect(member));
+    this.roster.merge(records, { instance, isBulk: unknown > BULK_THRESHOLD });
   }
 
   /**
-   * Whoever was cut off believes all the others dead. Taken as they stand, its statements would
-   * leave the whole fleet without endpoints until each had refuted. As suspicions they are refuted
-   * in time, and work goes on meanwhile.
+   * Turns the death of a live member into a suspicion. A process that was partitioned believes all
+   * others dead. Merged unchanged, its records would leave the fleet without endpoints until each
+   * member had refuted; suspected members keep receiving work while they refute.
    */
-  #soften(member: Member): Member {
+  #deadToSuspect(member: Member): Member {
     if (member.liveness !== 'dead' || member.instance === this.roster.self.instance) return member;
     const held = this.roster.get(member.instance);
     return held && !isGone(held) ? { ...member, liveness: 'suspect' } : member;
--- a/src/membership/registration.ts
+++ b/src/membership/registration.ts
@@ -1,14 +1,14 @@
-/** What the platform holds about members: how to reach them, and nothing that changes often. */
+/** Members as registered on the platform: their addresses, and nothing that changes often. */
 import * as z from 'zod';
 import { Member } from '../contracts.js';
 
 export const Registration = Member.omit({ sequence: true, liveness: true, endpoint: true });
 export type Registration = z.infer<typeof Registration>;
 
-/** Value of a data centre's object. */
+/** Value of the object of a data centre. */
 export const Registrations = z.strictObject({ members: z.array(Registration) });
 
-/** Below the sequence of all that a member says itself. */
+/** Below every sequence that a member assigns itself. */
 const REGISTERED_SEQUENCE = -1;
 
 export function registrationOf(member: Member): Registration {
@@ -16,7 +16,7 @@
   return { instance, dataCentre, host, linkPort, guardPort, operatorsPort, incarnation };
 }
 
-/** The oldest statement about that incarnation: anything heard from others overrides it. */
-export function statementOf(registration: Registration): Member {
+/** The oldest record of that incarnation, which any record received from a process overrides. */
+export function recordOf(registration: Registration): Member {
   return { ...registration, sequence: REGISTERED_SEQUENCE, liveness: 'alive' };
 }
--- a/src/membership/retention.ts
+++ b/src/membership/retention.ts
@@ -1,41 +1,41 @@
-/** Forgets dead and departed members, in the end. */
+/** Removes dead and departed members from the roster after a retention period. */
 import { type Member } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Roster } from './roster.js';
 import { isGone } from './statement.js';
 
 /**
- * A dead member is remembered for this long, in milliseconds. Statements that believe it alive
- * come from processes that were cut off or paused, or from a registration not yet cleaned. They
- * are minutes old at most; one that is older still costs another detection, and no more.
+ * Retention period of dead and departed members, in milliseconds. Records that show them alive come
+ * from processes that were partitioned or paused, or from a registration not yet removed, and are
+ * usually minutes old at most. An older one only costs another detection of the failure.
  */
-export const REMEMBER_MS = 3_600_000;
-/** Dead members remembered at most, about 0.5 MB; the oldest go first. */
-export const MAX_REMEMBERED = 2_048;
+export const RETENTION_MS = 3_600_000;
+/** Maximum number of dead and departed members, about 0.5 MB; the oldest are removed first. */
+export const MAX_RETAINED = 2_048;
 
 export class Retention {
-  /** Instants from which to forget, oldest first, since all wait equally long. */
-  readonly #forgetAt = new Map<string, number>();
+  /** Expiry by instance; in insertion order, since the period is the same for all. */
+  readonly #expiresAt = new Map<string, number>();
 
   constructor(
     private readonly roster: Roster,
     private readonly clock: Clock,
   ) {
-    roster.onNews((members) => members.forEach((member) => this.#note(member)));
+    roster.onNews((members) => members.forEach((member) => this.#update(member)));
   }
 
-  /** Drops what is due. */
+  /** Removes expired members, and the oldest beyond `MAX_RETAINED`. */
   sweep(): void {
     const now = this.clock.now();
-    for (const [instance, deadline] of this.#forgetAt) {
-      if (deadline > now && this.#forgetAt.size <= MAX_REMEMBERED) return;
-      this.#forgetAt.delete(instance);
+    for (const [instance, deadline] of this.#expiresAt) {
+      if (deadline > now && this.#expiresAt.size <= MAX_RETAINED) return;
+      this.#expiresAt.delete(instance);
       this.roster.forget(instance);
     }
   }
 
-  #note(member: Member): void {
-    this.#forgetAt.delete(member.instance);
-    if (isGone(member)) this.#forgetAt.set(member.instance, this.clock.now() + REMEMBER_MS);
+  #update(member: Member): void {
+    this.#expiresAt.delete(member.instance);
+    if (isGone(member)) this.#expiresAt.set(member.instance, this.clock.now() + RETENTION_MS);
   }
 }
--- a/src/membership/roster.ts
+++ b/src/membership/roster.ts
@@ -1,25 +1,25 @@
-/** What one process knows of all the others. */
+/** The members known to one process. */
 import { type Endpoint, type Liveness, type Member } from '../contracts.js';
 import { RosterDigest } from './roster_digest.js';
 import { isGone, isNewer } from './statement.js';
 
-/** Where statements came from. */
+/** Where records came from. */
 export interface Origin {
-  /** The instance that sent them, which need not hear them again. */
+  /** The instance that sent them, to which they are not sent back. */
   readonly instance?: string;
-  /** Whether they are a whole roster: neighbours then compare theirs, and are not sent all of it. */
+  /** Whether they are a whole roster, which is not forwarded: neighbours reconcile instead. */
   readonly isBulk?: boolean;
 }
 
-type NewsListener = (members: readonly Member[], origin: Origin) => void;
+type UpdateListener = (members: readonly Member[], origin: Origin) => void;
 
-const OWN: Origin = {};
+const LOCAL_ORIGIN: Origin = {};
 
-/** Members by instance. Newer statements replace older ones; the member itself has the last word. */
+/** Members by instance. Newer records replace older ones; a process refutes those about itself. */
 export class Roster {
   readonly #members = new Map<string, Member>();
 
-  readonly #listeners = new Set<NewsListener>();
+  readonly #listeners = new Set<UpdateListener>();
 
   readonly digest = new RosterDigest();
 
@@ -42,17 +42,17 @@
     return this.#self;
   }
 
-  /** Rises with every change, so that derived data can be cached. */
+  /** Increases with every change, so that derived data can be cached. */
   get generation(): number {
     return this.#generation;
   }
 
-  /** Rises when a member comes, goes, moves or is suspected, and not when its endpoint changes. */
+  /** Increases when liveness, incarnation or addresses of a member change, but not its endpoint. */
   get topology(): number {
     return this.#topology;
   }
 
-  /** Equal for two rosters that hold the same live members, whatever the order they came in. */
+  /** Equal for two rosters with the same records of live members, whatever order they came in. */
   get hash(): string {
     return this.digest.total;
   }
@@ -61,12 +61,12 @@
     return this.#members.size;
   }
 
-  /** How often this process has refuted a statement about itself. */
+  /** How often this process has refuted a record about itself. */
   get refutations(): number {
     return this.#refutations;
   }
 
-  /** Members by liveness. */
+  /** Number of members by liveness. */
   get counts(): Readonly<Record<Liveness, number>> {
     const counts = { alive: 0, suspect: 0, dead: 0, left: 0 };
     for (const { liveness } of this.#members.values()) counts[liveness] += 1;
@@ -81,39 +81,39 @@
     return [...this.#members.values()];
   }
 
-  /** Members that may hold links, and work for which one may still hope. */
+  /** Members that are alive or suspected, which may have links and may still finish their work. */
   live(): readonly Member[] {
     this.#live ??= this.all().filter((member) => !isGone(member));
     return this.#live;
   }
 
-  /** How many live members have an endpoint that takes work. */
+  /** Number of live members whose endpoint is ready. */
   get endpoints(): number {
     return this.live().filter((member) => member.endpoint?.state === 'ready').length;
   }
 
-  /** Calls `listener` with the statements that were news. */
-  onNews(listener: NewsListener): void {
+  /** Calls `listener` with the records that changed, after each update. */
+  onNews(listener: UpdateListener): void {
     this.#listeners.add(listener);
   }
 
-  /** Takes over what is newer; returns the statements that were news. */
-  merge(statements: readonly Member[], origin: Origin = OWN): Member[] {
-    const news = statements
-      .map((member) => this.#take(member))
+  /** Applies records newer than those held; returns the records that changed. */
+  merge(records: readonly Member[], origin: Origin = LOCAL_ORIGIN): Member[] {
+    const changed = records
+      .map((member) => this.#apply(member))
       .filter((member) => member !== undefined);
-    if (news.length > 0) this.#announce(news, origin);
-    return news;
+    if (changed.length > 0) this.#notify(changed, origin);
+    return changed;
   }
 
-  /** States that a neighbour's liveness has changed; false if a stronger statement is held. */
-  mark(instance: string, liveness: Liveness): boolean {
+  /** Changes the liveness of another member; false if the record held overrides the change. */
+  setLiveness(instance: string, liveness: Liveness): boolean {
     const member = this.#members.get(instance);
     if (!member || instance === this.#self.instance) return false;
     return this.merge([{ ...member, liveness }]).length > 0;
   }
 
-  /** Drops what is held about a dead or departed member. */
+  /** Removes a dead or departed member. */
   forget(instance: string): void {
     const member = this.#members.get(instance);
     if (!member || !isGone(member) || member === this.#self) return;
@@ -122,23 +122,23 @@
     this.#generation += 1;
   }
 
-  /** States the own endpoint. */
+  /** Publishes the local endpoint. */
   announce(endpoint: Endpoint | undefined): void {
-    this.#state({ ...this.#self, endpoint, sequence: this.#self.sequence + 1 });
+    this.#updateSelf({ ...this.#self, endpoint, sequence: this.#self.sequence + 1 });
   }
 
-  /** States that this process leaves. */
+  /** Publishes that this process is leaving. */
   leave(): void {
-    this.#state({ ...this.#self, liveness: 'left', sequence: this.#self.sequence + 1 });
+    this.#updateSelf({ ...this.#self, liveness: 'left', sequence: this.#self.sequence + 1 });
   }
 
-  #state(self: Member): void {
+  #updateSelf(self: Member): void {
     this.#self = self;
     this.#put(self);
-    this.#announce([self], OWN);
+    this.#notify([self], LOCAL_ORIGIN);
   }
 
-  #take(member: Member): Member | undefined {
+  #apply(member: Member): Member | undefined {
     if (member.instance === this.#self.instance) return this.#refute(member);
     const held = this.#members.get(member.instance);
     if (held && !isNewer(member, held)) return undefined;
@@ -147,15 +147,15 @@
   }
 
   /**
-   * Others hold a newer statement about this process than its own: it was paused and is believed
-   * dead, or an earlier life of it had a clock that ran ahead. Were that left to stand, its
-   * endpoint would get no work for good. One incarnation above overrides it everywhere.
+   * Refutes a record about this process that is newer than its own: the process was paused and is
+   * believed dead, or its clock ran ahead before a restart. If it stood, its endpoint would get no
+   * work for good. The next higher incarnation overrides it everywhere.
    */
-  #refute(statement: Member): Member | undefined {
+  #refute(record: Member): Member | undefined {
     const own = this.#self;
-    if (own.liveness === 'left' || !isNewer(statement, own)) return undefined;
+    if (own.liveness === 'left' || !isNewer(record, own)) return undefined;
     this.#refutations += 1;
-    this.#self = { ...own, incarnation: statement.incarnation + 1 };
+    this.#self = { ...own, incarnation: record.incarnation + 1 };
     this.#put(this.#self);
     return this.#self;
   }
@@ -166,15 +166,15 @@
     this.#members.set(member.instance, member);
     this.#live = undefined;
     this.#generation += 1;
-    if (!before || hasMoved(before, member)) this.#topology += 1;
+    if (!before || changesTopology(before, member)) this.#topology += 1;
   }
 
-  #announce(news: readonly Member[], origin: Origin): void {
-    for (const listener of this.#listeners) listener(news, origin);
+  #notify(changed: readonly Member[], origin: Origin): void {
+    for (const listener of this.#listeners) listener(changed, origin);
   }
 }
 
-function hasMoved(before: Member, after: Member): boolean {
+function changesTopology(before: Member, after: Member): boolean {
   return (
     before.liveness !== after.liveness ||
     before.incarnation !== after.incarnation ||
--- a/src/membership/roster_digest.ts
+++ b/src/membership/roster_digest.ts
@@ -1,36 +1,35 @@
-/** Hashes over the statements of a roster, kept up to date with each change. */
+/** Incremental hashes over the records of a roster. */
 import { createHash } from 'node:crypto';
 import { type Member } from '../contracts.js';
 import { hashOf, isGone } from './statement.js';
 
-/** Parts into which rosters are divided for comparison. */
+/** Number of buckets into which rosters are divided for comparison. */
 export const BUCKETS = 64;
 
 /**
- * Dead and departed members do not count: processes forget them at different times, and rosters
- * that differ by nothing else must compare as equal.
+ * Dead and departed members are left out of the buckets and the total: processes remove them at
+ * different times, and rosters that differ in nothing else must compare as equal.
  */
 export class RosterDigest {
   readonly #hashes = new Map<string, number>();
 
   readonly #bucketOf = new Map<string, number>();
 
-  /** Hash over each bucket, the same whatever the order in which statements came. */
+  /** Hash of each bucket, independent of the order in which records arrived. */
   readonly buckets: number[] = Array.from({ length: BUCKETS }, () => 0);
 
   #total = 0;
 
-  /** Hash over all. */
+  /** Hash of the whole roster, in base 36. */
   get total(): string {
     return (this.#total >>> 0).toString(36);
   }
 
-  /** Hash of what is held about an instance, dead or not. */
+  /** Hash of the record held about an instance, dead or not. */
   hashOf(instance: string): number | undefined {
     return this.#hashes.get(instance);
   }
 
-  /** The bucket in which an instance counts. */
   bucketOf(instance: string): number {
     return this.#bucketOf.get(instance) ?? bucketOf(instance);
   }
--- a/src/membership/statement.ts
+++ b/src/membership/statement.ts
@@ -1,41 +1,41 @@
-/** Which of two statements about a member holds. */
+/** Order and hash of member records. */
 import { canonical } from '../configuration/digest.js';
 import { type Liveness, type Member } from '../contracts.js';
 import { fnv1a } from '../runtime/hash.js';
 
-/** How strongly a statement about liveness overrides another of the same age. */
+/** Of two records of the same incarnation and sequence, the one with higher precedence wins. */
 const PRECEDENCE: Record<Liveness, number> = { alive: 0, suspect: 1, dead: 2, left: 3 };
 
 const MURMUR_FIRST = 0x85ebca6b;
 const MURMUR_SECOND = 0xc2b2ae35;
 
-/** Whether the member holds no links and takes no work any more. */
+/** Whether the member is dead or has left, and so has no links and takes no work. */
 export function isGone({ liveness }: Member): boolean {
   return liveness === 'dead' || liveness === 'left';
 }
 
 /**
- * Whether `statement` overrides `held`. This is a total order, so merging takes the greatest
- * statement and gives the same result for any order, grouping or repetition of messages.
+ * Whether `record` overrides `held`. This is a total order, so merging keeps the greatest record
+ * and gives the same result for any order, grouping or repetition of messages.
  *
- * `left` goes before the sequence: a delta that is late, or was doubled, would otherwise bring back
- * a process that has stopped. Only a new incarnation revives it.
+ * `left` is compared before the sequence: otherwise a delayed or duplicated update would revive a
+ * process that has stopped. Only a new incarnation does.
  */
-export function isNewer(statement: Member, held: Member): boolean {
+export function isNewer(record: Member, held: Member): boolean {
   const order =
-    statement.incarnation - held.incarnation ||
-    Number(statement.liveness === 'left') - Number(held.liveness === 'left') ||
-    statement.sequence - held.sequence ||
-    PRECEDENCE[statement.liveness] - PRECEDENCE[held.liveness];
+    record.incarnation - held.incarnation ||
+    Number(record.liveness === 'left') - Number(held.liveness === 'left') ||
+    record.sequence - held.sequence ||
+    PRECEDENCE[record.liveness] - PRECEDENCE[held.liveness];
   if (order !== 0) return order > 0;
-  // Most of what arrives is known already, and canonical texts are costly.
-  if (isSame(statement, held)) return false;
-  // Two lives of an instance may have started in the same millisecond. The text decides alike
-  // everywhere; the living one sees that it differs and takes a higher incarnation.
-  return canonical(statement) > canonical(held);
+  // Most records received are already held, and canonical texts are expensive to build.
+  if (hasSameContent(record, held)) return false;
+  // An instance may have been started twice in the same millisecond. Comparing the texts gives the
+  // same result everywhere, and the running process refutes a record that differs from its own.
+  return canonical(record) > canonical(held);
 }
 
-function isSame(one: Member, other: Member): boolean {
+function hasSameContent(one: Member, other: Member): boolean {
   return (
     one.host === other.host &&
     one.linkPort === other.linkPort &&
@@ -50,9 +50,9 @@
 }
 
 /**
- * Short hash of a statement, a signed 32-bit number: FNV-1a over its fields, with the last steps of
- * MurmurHash3, so that hashes of statements that differ by a digit can be XORed. It guards against
- * chance, not against forgers: each link is one of the system's own.
+ * Hash of a record, a signed 32-bit number: FNV-1a over its fields, followed by the finalizer of
+ * MurmurHash3, so that hashes of records that differ in one digit can be XORed. It is not
+ * cryptographic: links connect only processes of this system.
  */
 export function hashOf(member: Member): number {
   const { endpoint } = member;
--- a/src/membership/suspicions.ts
+++ b/src/membership/suspicions.ts
@@ -1,15 +1,15 @@
-/** Takes suspects for dead that do not refute in time. */
+/** Declares suspects dead that do not refute the suspicion in time. */
 import { type Member } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Roster } from './roster.js';
 
-/** A suspect that does not refute for this long is taken for dead, in milliseconds. */
-export const SUSPICION_MS = 3_000;
-const JUDGE_EVERY_MS = 1_000;
-/** Waking up so much too late means that the process was paused, in milliseconds. */
-const PAUSED_MS = 1_000;
+/** Time that a suspect has to refute the suspicion, in milliseconds. */
+export const SUSPICION_TIMEOUT_MS = 3_000;
+const MAX_CHECK_INTERVAL_MS = 1_000;
+/** A wake-up later than this, in milliseconds, means that the process was paused. */
+const PAUSE_THRESHOLD_MS = 1_000;
 
-/** Until when one statement may be refuted. */
+/** A pending suspicion: the record that raised it, and until when it can be refuted. */
 interface Suspicion {
   readonly incarnation: number;
   readonly sequence: number;
@@ -19,58 +19,62 @@
 export class Suspicions {
   #raised = 0;
 
-  readonly #held = new Map<string, Suspicion>();
+  readonly #active = new Map<string, Suspicion>();
 
   constructor(
     private readonly roster: Roster,
     private readonly clock: Clock,
   ) {
-    roster.onNews((members) => members.forEach((member) => this.#note(member)));
+    roster.onNews((members) => members.forEach((member) => this.#update(member)));
   }
 
-  /** How many suspicions were heard of, the own ones included. */
+  /** Number of suspicions received or raised by this process. */
   get raised(): number {
     return this.#raised;
   }
 
-  /** Judges until the signal aborts. */
+  /** Expires suspicions until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      const deadlines = [...this.#held.values()].map(({ deadline }) => deadline);
-      const wakeAt = Math.min(this.clock.now() + JUDGE_EVERY_MS, ...deadlines);
+      const deadlines = [...this.#active.values()].map(({ deadline }) => deadline);
+      const wakeAt = Math.min(this.clock.now() + MAX_CHECK_INTERVAL_MS, ...deadlines);
       await this.clock.sleepUntil(wakeAt, signal);
-      if (this.clock.now() - wakeAt > PAUSED_MS) this.#restart();
-      if (!signal.aborted) this.#judge();
+      if (this.clock.now() - wakeAt > PAUSE_THRESHOLD_MS) this.#restartDeadlines();
+      if (!signal.aborted) this.#expire();
     }
   }
 
-  #note({ instance, incarnation, sequence, liveness }: Member): void {
+  #update({ instance, incarnation, sequence, liveness }: Member): void {
     if (liveness !== 'suspect') {
-      this.#held.delete(instance);
+      this.#active.delete(instance);
       return;
     }
-    const held = this.#held.get(instance);
-    if (held?.incarnation === incarnation && held.sequence === sequence) return;
+    const known = this.#active.get(instance);
+    if (known?.incarnation === incarnation && known.sequence === sequence) return;
     this.#raised += 1;
-    this.#held.set(instance, { incarnation, sequence, deadline: this.clock.now() + SUSPICION_MS });
+    this.#active.set(instance, {
+      incarnation,
+      sequence,
+      deadline: this.clock.now() + SUSPICION_TIMEOUT_MS,
+    });
   }
 
   /**
-   * A process that was paused finds all deadlines passed while refutations wait unread on its
-   * links: it would declare living members dead, and send that on. So all deadlines start anew.
+   * Restarts all deadlines after a pause of this process: they have passed while refutations are
+   * still unread on its links, so it would declare live members dead and spread that.
    */
-  #restart(): void {
-    const deadline = this.clock.now() + SUSPICION_MS;
-    for (const [instance, held] of this.#held) this.#held.set(instance, { ...held, deadline });
+  #restartDeadlines(): void {
+    const deadline = this.clock.now() + SUSPICION_TIMEOUT_MS;
+    for (const [instance, old] of this.#active) this.#active.set(instance, { ...old, deadline });
   }
 
-  #judge(): void {
+  #expire(): void {
     const now = this.clock.now();
-    for (const [instance, { deadline }] of [...this.#held]) {
+    for (const [instance, { deadline }] of [...this.#active]) {
       if (deadline > now) continue;
-      // Forgotten first: were a passed deadline kept, there would be no sleep until the next look.
-      this.#held.delete(instance);
-      this.roster.mark(instance, 'dead');
+      // Removed in any case: with a deadline in the past, `run` would loop without sleeping.
+      this.#active.delete(instance);
+      this.roster.setLiveness(instance, 'dead');
     }
   }
 }
--- a/src/membership/upkeep.ts
+++ b/src/membership/upkeep.ts
@@ -1,4 +1,4 @@
-/** Keeps links to the neighbours, and closes those that serve nobody any more. */
+/** Maintains links to the neighbours and closes links that are no longer needed. */
 import { type Member, OutcomeError } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { type Peer } from '../link/peer.js';
@@ -8,29 +8,29 @@
 import { type Roster } from './roster.js';
 import { isGone } from './statement.js';
 
-/** Caps of the jittered wait before the next dial: the second one's, and the highest. */
+/** First and highest cap of the jittered wait before dialling again, in milliseconds. */
 const REDIAL_FIRST_CAP_MS = 500;
 const REDIAL_CAP_MS = 15_000;
-/** A link that held for this long counts as good: the next dial does not wait. */
+/** A link open for this long, in milliseconds, counts as stable: the next dial does not wait. */
 const STABLE_MS = 10_000;
-/** A link that serves neither end is closed after this long, in milliseconds. */
-const RETIRE_MS = 10_000;
-const SWEEP_EVERY_MS = 1_000;
+/** A link that neither end needs is closed after this long, in milliseconds. */
+const UNNEEDED_LINK_MS = 10_000;
+const SWEEP_INTERVAL_MS = 1_000;
 
 /**
- * A link that closes proves nothing about the far end: it may have been a duplicate, have gone
- * silent on the way or be retired. Only a dial that fails is evidence, and raises a suspicion.
+ * A closed link proves nothing about the far end: the link may have been a duplicate, silent or no
+ * longer needed. Only a failed dial raises a suspicion.
  */
 export class Upkeep {
-  /** Instances that a task is dialling. */
-  readonly #kept = new Set<string>();
+  /** Instances for which a dialling task is running. */
+  readonly #dialling = new Set<string>();
 
-  /** Dials since the last good link, by instance. */
+  /** Number of dials since the last stable link, by instance. */
   readonly #attempts = new Map<string, number>();
 
   readonly #stableAt = new Map<string, number>();
 
-  readonly #retireAt = new WeakMap<Peer, number>();
+  readonly #closeAt = new WeakMap<Peer, number>();
 
   constructor(
     private readonly mesh: Mesh,
@@ -40,36 +40,36 @@
     private readonly random: Random,
     private readonly stopping: AbortSignal,
   ) {
-    roster.onNews(() => this.#tend());
+    roster.onNews(() => this.#dialMissing());
     mesh.onOpen((peer) => this.#opened(peer));
-    mesh.onClose(() => this.#tend());
+    mesh.onClose(() => this.#dialMissing());
   }
 
   async run(signal: AbortSignal): Promise<void> {
     while (!signal.aborted) {
-      await this.clock.sleepUntil(this.clock.now() + SWEEP_EVERY_MS, signal);
+      await this.clock.sleepUntil(this.clock.now() + SWEEP_INTERVAL_MS, signal);
       if (signal.aborted) return;
-      this.#tend();
-      this.#settle();
-      for (const peer of this.mesh.peers) this.#retire(peer);
+      this.#dialMissing();
+      this.#resetAttempts();
+      for (const peer of this.mesh.peers) this.#closeIfUnneeded(peer);
     }
   }
 
-  #tend(): void {
+  #dialMissing(): void {
     if (this.stopping.aborted) return;
-    for (const member of this.ranking.neighbours) void this.#keep(member);
+    for (const member of this.ranking.neighbours) void this.#dialUntilLinked(member);
   }
 
-  /** Dials until there is a link, or the member is no neighbour any more. */
-  async #keep({ instance }: Member): Promise<void> {
-    if (this.#kept.has(instance) || this.mesh.peer(instance)) return;
-    this.#kept.add(instance);
+  /** Dials until there is a link or the member is no longer a neighbour. */
+  async #dialUntilLinked({ instance }: Member): Promise<void> {
+    if (this.#dialling.has(instance) || this.mesh.peer(instance)) return;
+    this.#dialling.add(instance);
     while (this.#isMissing(instance)) {
-      await this.#waitTurn(instance);
+      await this.#backOff(instance);
       if (!this.#isMissing(instance)) break;
       await this.#dial(instance);
     }
-    this.#kept.delete(instance);
+    this.#dialling.delete(instance);
   }
 
   #isMissing(instance: string): boolean {
@@ -77,8 +77,8 @@
     return this.ranking.neighbours.some((member) => member.instance === instance);
   }
 
-  /** The first dial goes out at once, the others with full jitter under a cap that doubles. */
-  async #waitTurn(instance: string): Promise<void> {
+  /** Waits before a dial: not before the first one, then with full jitter and a doubling cap. */
+  async #backOff(instance: string): Promise<void> {
     const attempts = this.#attempts.get(instance) ?? 0;
     if (attempts === 0) return;
     const cap = Math.min(REDIAL_CAP_MS, REDIAL_FIRST_CAP_MS * 2 ** (attempts - 1));
@@ -91,7 +91,7 @@
     this.#attempts.set(instance, (this.#attempts.get(instance) ?? 0) + 1);
     try {
       const peer = await this.mesh.dial({ host: member.host, port: member.linkPort });
-      // Another instance has taken over the address.
+      // Another instance now uses the address.
       if (peer.member?.instance !== instance) this.#suspect(member);
     } catch (error) {
       const isTurnedAway = error instanceof OutcomeError && error.reason === 'turned-away';
@@ -99,7 +99,7 @@
     }
   }
 
-  /** Suspects what was dialled: a statement that came in meanwhile has not been disproved. */
+  /** Suspects the record that was dialled: one received meanwhile is not refuted by the failure. */
   #suspect(dialled: Member): void {
     if (this.stopping.aborted || this.mesh.peer(dialled.instance)) return;
     this.roster.merge([{ ...dialled, liveness: 'suspect' }]);
@@ -109,8 +109,8 @@
     this.#stableAt.set(peer.member!.instance, this.clock.now() + STABLE_MS);
   }
 
-  /** Forgets the failed dials of links that hold, and of members that are gone. */
-  #settle(): void {
+  /** Resets the attempts of stable links, and of members that are gone. */
+  #resetAttempts(): void {
     const now = this.clock.now();
     for (const [instance, deadline] of this.#stableAt) {
       const isOpen = this.mesh.peer(instance) !== undefined;
@@ -124,14 +124,14 @@
     }
   }
 
-  #retire(peer: Peer): void {
+  #closeIfUnneeded(peer: Peer): void {
     if (this.ranking.needsLink(peer.member!.instance)) {
-      this.#retireAt.delete(peer);
+      this.#closeAt.delete(peer);
       return;
     }
     const now = this.clock.now();
-    const deadline = this.#retireAt.get(peer) ?? now + RETIRE_MS;
-    this.#retireAt.set(peer, deadline);
+    const deadline = this.#closeAt.get(peer) ?? now + UNNEEDED_LINK_MS;
+    this.#closeAt.set(peer, deadline);
     if (now >= deadline) peer.link.close();
   }
 }
--- a/src/runtime/token_bucket.ts
+++ b/src/runtime/token_bucket.ts
@@ -1,4 +1,4 @@
-/** Bounds how often something is done. */
+/** Rate limiting by a token bucket. */
 import { type Clock } from './clock.js';
 
 const SECOND_MS = 1_000;
@@ -6,33 +6,33 @@
 export class TokenBucket {
   #tokens: number;
 
-  #filledAt: number;
+  #refilledAt: number;
 
-  /** Starts full. `burst` tokens at most are gathered, `perSecond` come back each second. */
+  /** Starts full with `burst` tokens, the maximum, and gains `perSecond` tokens per second. */
   constructor(
     private readonly clock: Clock,
     private readonly perSecond: number,
     private readonly burst: number,
   ) {
     this.#tokens = burst;
-    this.#filledAt = clock.now();
+    this.#refilledAt = clock.now();
   }
 
-  /** Takes one token; false if there is none. */
+  /** Takes one token; returns false if there is none. */
   take(): boolean {
     return this.takeUpTo(1) === 1;
   }
 
-  /** Takes as many whole tokens as there are, `count` at most; returns how many. */
+  /** Takes up to `count` whole tokens; returns the number taken. */
   takeUpTo(count: number): number {
-    this.#fill();
+    this.#refill();
     const taken = Math.min(count, Math.floor(this.#tokens));
     this.#tokens -= taken;
     return taken;
   }
 
-  /** Waits for a token and takes it; false if the signal aborts first. */
-  async admit(signal: AbortSignal): Promise<boolean> {
+  /** Waits for a token and takes it; resolves to false if the signal aborts first. */
+  async acquire(signal: AbortSignal): Promise<boolean> {
     while (!signal.aborted) {
       if (this.take()) return true;
       const missing = 1 - this.#tokens;
@@ -42,10 +42,10 @@
     return false;
   }
 
-  #fill(): void {
+  #refill(): void {
     const now = this.clock.now();
-    const gained = ((now - this.#filledAt) * this.perSecond) / SECOND_MS;
+    const gained = ((now - this.#refilledAt) * this.perSecond) / SECOND_MS;
     this.#tokens = Math.min(this.burst, this.#tokens + gained);
-    this.#filledAt = now;
+    this.#refilledAt = now;
   }
 }
--- a/src/test/membership/announcement_test.ts
+++ b/src/test/membership/announcement_test.ts
@@ -2,8 +2,8 @@
 import {
   type Announcement,
   EndpointLease,
-  LEASE_MS,
-  REFUSED_MS,
+  DEFAULT_LEASE_MS,
+  REFUSAL_HOLDOFF_MS,
 } from '../../membership/announcement.js';
 import { Roster } from '../../membership/roster.js';
 import { FakeTime } from '../fake_time.js';
@@ -33,7 +33,7 @@
 }
 
 describe('EndpointLease', () => {
-  it('tells the others of changes only, each at once', async () => {
+  it('publishes only changes, each of them immediately', async () => {
     using world = setUp();
     for (const state of ['cold', 'cold', 'ready', 'ready', 'draining', 'draining'] as const) {
       world.lease.take({ ...READY, state });
@@ -43,12 +43,12 @@
     expect(world.roster.self).toMatchSnapshot();
   });
 
-  // An upstream instance crashes and cannot say so. Its announcements stay away, and the others
-  // stop sending work when the lease ends; the next announcement brings it back.
-  it('takes the endpoint for down when announcements stay away', async () => {
+  // Guards against a crashed upstream instance that keeps receiving work because it cannot
+  // announce that it is down.
+  it('publishes the endpoint as down when announcements stop', async () => {
     using world = setUp();
     world.lease.take(READY);
-    await world.time.advance(LEASE_MS - 500);
+    await world.time.advance(DEFAULT_LEASE_MS - 500);
     expect(world.states).to.eql(['ready']);
     await world.time.advance(1_000);
     expect(world.states).to.eql(['ready', 'down']);
@@ -56,22 +56,22 @@
     expect(world.states).to.eql(['ready', 'down', 'ready']);
   });
 
-  // The guard finds the port refusing. The upstream's announcing thread lives a moment longer: it
-  // must not win the endpoint work that would be refused again.
-  it('takes a refusing endpoint for down at once, and for a moment', async () => {
+  // Guards against work for a port that refuses connections, caused by announcements that a
+  // crashing upstream still sends.
+  it('publishes a refusing endpoint as down immediately and for a limited time', async () => {
     using world = setUp();
     world.lease.take(READY);
     world.lease.refused();
     world.lease.take(READY);
     expect(world.states).to.eql(['ready', 'down']);
-    await world.time.advance(REFUSED_MS);
+    await world.time.advance(REFUSAL_HOLDOFF_MS);
     world.lease.take(READY);
     expect(world.states).to.eql(['ready', 'down', 'ready']);
   });
 
-  // An announcement of the time before the drain was held up on its way. Were it believed, the
-  // endpoint would get work while it leaves.
-  it('takes nothing back for an announcement that was overtaken', () => {
+  // Guards against work for a draining endpoint, caused by a delayed announcement from before the
+  // drain or from an earlier run.
+  it('ignores an announcement that arrives after a later one', () => {
     using world = setUp();
     const draining = { ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 5 } as const;
     world.lease.take(draining);
@@ -80,41 +80,41 @@
     expect(world.states).to.eql(['draining']);
   });
 
-  // The instance starts again under the id that it had, and counts anew. Its announcements have
-  // lower numbers than those of its life before, and hold all the same.
-  it('believes a new life of the same instance', () => {
+  // Guards against ignoring an instance that restarts with the same id: its sequence starts again
+  // below that of the previous run.
+  it('accepts a new run of the same instance', () => {
     using world = setUp();
     world.lease.take({ ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 50 });
     world.lease.take({ ...READY, id: 'i-1', born: 11, sequence: 1 });
     expect(world.states).to.eql(['draining', 'ready']);
   });
 
-  // Some instances never say that they drain: they say that they leave, serve on for a while and
-  // exit. From the first word on they get no new work, whatever else arrives of that life.
-  it('drains an instance that has said that it leaves', async () => {
+  // Guards against new work for instances that never announce a drain: they announce that they
+  // are leaving, and go on serving and announcing for a while.
+  it('drains an instance that has announced that it is leaving', async () => {
     using world = setUp();
     world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 1 });
     world.lease.depart({ id: 'i-1', born: 10 });
     world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 2 });
-    await world.time.advance(3 * LEASE_MS);
+    await world.time.advance(3 * DEFAULT_LEASE_MS);
     expect(world.states).to.eql(['ready', 'draining']);
     world.lease.take({ ...READY, id: 'i-1', born: 11, sequence: 1 });
     expect(world.states).to.eql(['ready', 'draining', 'ready']);
   });
 
-  // Guards against a drain that changes nothing: after a restart of this process the instance was
-  // found by its health check, which does not tell when it started.
-  it('drains an instance that leaves and was only looked at before', async () => {
+  // Guards against a drain without effect: after a restart of this process the instance was found
+  // by its health check, which does not report its start time.
+  it('drains a leaving instance that was known only from its health check', async () => {
     using world = setUp();
     world.lease.take({ ...READY, id: 'i-1' });
     world.lease.depart({ id: 'i-1', born: 10 });
     world.lease.take({ ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 9 });
-    await world.time.advance(3 * LEASE_MS);
+    await world.time.advance(3 * DEFAULT_LEASE_MS);
     expect(world.states).to.eql(['ready', 'draining']);
   });
 
-  // Guards against a drain that the next report takes back, since it did not say whose life ends.
-  it('drains an instance that leaves without telling when it started', () => {
+  // Guards against a drain without a start time that the next announcement of the same run ends.
+  it('drains a leaving instance that does not report its start time', () => {
     using world = setUp();
     world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 1 });
     world.lease.depart({ id: 'i-1' });
@@ -124,9 +124,9 @@
     expect(world.states).to.eql(['ready', 'draining', 'ready']);
   });
 
-  // Guards against a late report that is believed by a process of which all neighbours died with the
-  // one before it: nobody is left who knows that the endpoint drains.
-  it('believes an endpoint that declines a look only when it repeats itself', () => {
+  // Guards against accepting a delayed announcement after the previous process and all of its
+  // neighbours have died: no process is left that knows of the drain.
+  it('requires two ready announcements after a failed health check', () => {
     using world = setUp();
     world.lease.doubt();
     world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 3 });
@@ -137,7 +137,7 @@
     expect(world.states).to.eql(['draining', 'ready']);
   });
 
-  it('takes back what an endpoint said just before it declined a look', () => {
+  it('withdraws a ready announcement when the health check fails right after it', () => {
     using world = setUp();
     world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 3 });
     world.lease.doubt();
@@ -146,7 +146,7 @@
     expect(world.states).to.eql(['ready', 'draining', 'ready']);
   });
 
-  it('does not mind that another instance leaves', () => {
+  it('ignores the departure of another instance', () => {
     using world = setUp();
     world.lease.take({ ...READY, id: 'i-2', born: 10, sequence: 1 });
     world.lease.depart({ id: 'i-1', born: 9 });
--- a/src/test/membership/bootstrap_test.ts
+++ b/src/test/membership/bootstrap_test.ts
@@ -2,14 +2,14 @@
 import { STEADY } from '../../membership/pace.js';
 import { Fleet } from './fleet.js';
 
-/** The size to design for, and the calls per second that membership may make at that size. */
+/** Design size of a fleet, and the platform calls per second that membership may make then. */
 const FULL_SIZE = 740;
 const FULL_CAP = 200;
 const SIZE = 100;
-/** What the same calls per process come to in the fleet of the test. */
+/** The same rate per process in a fleet of `SIZE`. */
 const CAP = (FULL_CAP * SIZE) / FULL_SIZE;
 
-/** Most calls in any second until all know each other, and the time that took. */
+/** Peak calls per second until `isDone`, the time that took and all calls until then. */
 async function measure(fleet: Fleet, isDone: () => boolean, limitMs: number) {
   const { calls } = fleet.platform;
   let most = 0;
@@ -24,13 +24,13 @@
 }
 
 describe('Bootstrap', () => {
-  it('keeps the calls of the whole fleet below the cap by their budget alone', () => {
+  it('keeps the calls of a full-size fleet below the cap by the budget of each process', () => {
     expect(FULL_SIZE * STEADY.callsPerSecond).to.be.below(FULL_CAP);
   });
 
-  // All processes start at once with no address but the platform's, which is empty. None may be
-  // left alone, and the platform must see no more calls a second than at any other time.
-  it('brings processes together that know nobody, below the cap of calls', async function test() {
+  // Guards against isolated processes, and against a peak of calls to the platform, when a whole
+  // fleet starts without configured addresses and with an empty directory.
+  it('connects processes without configured addresses, below the cap of calls', async function test() {
     this.timeout(30_000);
     await using fleet = new Fleet();
     fleet.startMany(SIZE, ['arima', 'couva'], []);
@@ -40,9 +40,9 @@
     expect(result).toMatchSnapshot();
   });
 
-  // The whole fleet dies and starts anew at its old addresses. All find others at the addresses
-  // from the settings; hardly any reads the directory.
-  it('hardly asks the platform when a herd restarts with addresses in its settings', async () => {
+  // Guards against a peak of directory reads when a whole fleet restarts at its configured
+  // addresses.
+  it('reads the directory at most three times when a fleet with configured addresses restarts', async () => {
     await using fleet = new Fleet();
     fleet.startMany(30);
     await fleet.until(() => fleet.agrees(30), 20_000);
@@ -54,9 +54,9 @@
     expect(fleet.platform.calls.reads - before).to.be.at.most(3);
   });
 
-  // The platform is down while all start without addresses. Nobody can find anybody, and the
-  // attempts must thin out; when the platform is back, all come together.
-  it('waits out an outage of the platform in growing windows', async () => {
+  // Guards against a constant rate of attempts during a platform outage, and against processes that
+  // stay isolated after it.
+  it('retries with growing windows during a platform outage', async () => {
     await using fleet = new Fleet();
     fleet.platform.faults.down = true;
     fleet.startMany(10, ['arima'], []);
@@ -67,9 +67,9 @@
     expect({ outage, after }).toMatchSnapshot();
   });
 
-  // All processes of a fleet die, and others take their place under new names and addresses. All
-  // that the directory holds is dead. The new ones must still meet, and clear the dead away.
-  it('brings replacements together though all that is registered is dead', async () => {
+  // Guards against replacements under new names and addresses that do not find each other because
+  // the directory lists only dead members; these must be removed as well.
+  it('connects replacements when all registered members are dead', async () => {
     await using fleet = new Fleet();
     fleet.startMany(12, ['arima'], []);
     await fleet.until(() => fleet.agrees(12), 60_000);
--- a/src/test/membership/directory_test.ts
+++ b/src/test/membership/directory_test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { type Member } from '../../contracts.js';
-import { CLEANED_PER_WRITE, Directory, MAX_REGISTERED } from '../../membership/directory.js';
+import { MAX_REMOVED_PER_WRITE, Directory, MAX_REGISTERED } from '../../membership/directory.js';
 import { Ranking } from '../../membership/ranking.js';
 import { registrationOf, Registrations } from '../../membership/registration.js';
 import { Roster } from '../../membership/roster.js';
@@ -20,7 +20,7 @@
 
   readonly stopping = new AbortController();
 
-  /** A process that writes the directory whenever it ranks first among those it knows. */
+  /** Starts the directory task of a process, which writes while it is root in its own roster. */
   process(self: Member, known: readonly Member[] = []): { roster: Roster; directory: Directory } {
     const { clock } = this.time;
     const roster = new Roster(self);
@@ -52,7 +52,7 @@
 }
 
 describe('Directory', () => {
-  it('registers how members are reached, and writes only when that changes', async () => {
+  it('registers the addresses of members, and writes only when these change', async () => {
     using world = new World();
     const { roster } = world.process(memberOf('a'));
     await world.time.advance(CYCLES_MS);
@@ -65,10 +65,9 @@
     expect(JSON.parse(stored!.value)).toMatchSnapshot();
   });
 
-  // Processes that started without each other are islands of one. All believe themselves the root
-  // and would write. The later writes fail and their writers read, until each island knows another
-  // one to dial: links are not part of this test.
-  it('lets no island that writes at the same time stay alone', async () => {
+  // Guards against processes that start without links, all rank themselves root and overwrite each
+  // other's registration. There are no links in this test: knowing another member is enough.
+  it('connects islands of processes that write at the same time', async () => {
     using world = new World();
     const names = ['a', 'b', 'c', 'd'];
     const islands = names.map((name) => world.process(memberOf(name)));
@@ -83,9 +82,8 @@
     expect(conflicts).to.be.above(0);
   });
 
-  // A write takes effect and its answer is lost. The root cannot know, reads again, and finds that
-  // nothing is left to do.
-  it('settles a write whose answer was lost', async () => {
+  // Guards against a repeated write, or none, when a write took effect but its response was lost.
+  it('resolves a write whose response was lost', async () => {
     using world = new World();
     world.platform.faults.loseAnswers = 1;
     world.process(memberOf('a'));
@@ -94,8 +92,9 @@
     expect(world.platform.calls.writes).to.equal(1);
   });
 
-  // The platform is down, then so slow that every call times out, then well.
-  it('registers after an outage, at its usual pace', async () => {
+  // Guards against a burst of calls, or no registration, after the platform was down and then so
+  // slow that every call timed out.
+  it('registers after an outage, at its usual rate', async () => {
     using world = new World();
     world.platform.faults.down = true;
     world.process(memberOf('a'));
@@ -109,9 +108,9 @@
     expect(reads + writes).to.be.at.most((3 * CYCLES_MS) / 5_000);
   });
 
-  // A root has read the object and is paused before its write; another one writes meanwhile. When
-  // it wakes, its write must fail, and may not undo what the other has written.
-  it('does not let a root that was paused undo what another wrote', async () => {
+  // Guards against a lost update: a root reads the object and is paused before its write, and
+  // another root writes meanwhile.
+  it('does not let a paused root overwrite the registrations of another', async () => {
     using world = new World();
     const [root, other] = byRank(['b', 'c']);
     const { directory } = world.process(root!);
@@ -127,11 +126,11 @@
     expect(await world.registered()).to.eql(['b', 'c']);
   });
 
-  it('removes dead members, a bounded number with each write', async () => {
+  it('removes dead members, a bounded number per write', async () => {
     using world = new World();
     const others = Array.from({ length: 40 }, (_, index) => memberOf(`i${index}`));
     const { roster } = world.process(memberOf('a'), others);
-    for (const { instance } of others) roster.mark(instance, 'dead');
+    for (const { instance } of others) roster.setLiveness(instance, 'dead');
     await world.platform.create(
       KEY,
       JSON.stringify({ members: others.map(registrationOf) }),
@@ -143,12 +142,12 @@
       sizes.push((await world.registered()).length);
     }
     expect(Math.max(...sizes.slice(1).map((size, at) => sizes[at]! - size))).to.be.at.most(
-      CLEANED_PER_WRITE,
+      MAX_REMOVED_PER_WRITE,
     );
     expect(sizes).toMatchSnapshot();
   });
 
-  it('stays below what one value may hold', async () => {
+  it('keeps the object below the maximum value size', async () => {
     using world = new World();
     const others = Array.from({ length: 2 * MAX_REGISTERED }, (_, index) =>
       memberOf(`bookings-san-fernando-${index}`, { incarnation: 1_790_000_000_000 }),
@@ -157,7 +156,7 @@
     roster.merge(others, { isBulk: true });
     for (const { instance } of new Ranking(roster, 8).ranked('arima')) {
       if (instance === 'a') break;
-      roster.mark(instance, 'left');
+      roster.setLiveness(instance, 'left');
     }
     await world.time.advance(CYCLES_MS);
     const stored = await world.platform.get(KEY, world.time.clock.now() + 1);
--- a/src/test/membership/drains_test.ts
+++ b/src/test/membership/drains_test.ts
@@ -13,22 +13,23 @@
   born: 10,
   sequence: 4,
 };
-/** For a process that starts to be acquainted with the others. */
+/** Time for a starting process to connect and query the drain. */
 const START_MS = 2_000;
 const GOSSIP_MS = 200;
 
 const start = () => TestFleet.start({ sizes: { arima: 4 }, pace: PROMPT });
 
-/** What the others believe of the endpoint beside `name`. */
-function believed(fleet: TestFleet, name: string): (string | undefined)[] {
+/** State of the endpoint of `name` in the rosters of the other processes. */
+function endpointStates(fleet: TestFleet, name: string): (string | undefined)[] {
   return fleet.alive
     .filter((node) => node.name !== name)
     .map(({ control }) => control.roster.get(name)?.endpoint?.state);
 }
 
 describe('drains of endpoints', () => {
-  // Guards against a process that takes an endpoint back which had told the one before it that it drains.
-  it('bind the process that starts after the one that heard them', async () => {
+  // Guards against a restarted process that publishes an endpoint as ready after the endpoint
+  // announced to the previous process that it is leaving.
+  it('apply to the successor of the process that received them', async () => {
     await using fleet = await start();
     const [{ name, host, control }] = fleet.alive as [(typeof fleet.alive)[0]];
     control.endpointLease.take(READY);
@@ -36,18 +37,18 @@
     await fleet.time.advance(GOSSIP_MS);
     fleet.kill(name);
     const successor = fleet.launch(name, host.dataCentre).control.endpointLease;
-    // A look at a health check that says so falsely, and a report that was held up on its way.
+    // A wrong answer of a health check, and a delayed announcement.
     successor.take({ ...READY, born: undefined, sequence: undefined });
     successor.take({ ...READY, sequence: 3 });
     await fleet.time.advance(START_MS);
-    expect(believed(fleet, name)).to.not.include('ready');
+    expect(endpointStates(fleet, name)).to.not.include('ready');
     successor.take({ ...READY, born: 11, sequence: 1 });
     await fleet.time.advance(GOSSIP_MS);
-    expect(believed(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
+    expect(endpointStates(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
   });
 
-  // Guards against the same for an endpoint that only said that it drains; which a later report takes back.
-  it('bind it until the endpoint says otherwise later', async () => {
+  // Guards against the same after a `draining` announcement, which a later `ready` one ends.
+  it('apply until the endpoint announces a later state', async () => {
     await using fleet = await start();
     const [{ name, host, control }] = fleet.alive as [(typeof fleet.alive)[0]];
     control.endpointLease.take({ ...READY, state: 'draining' });
@@ -56,14 +57,15 @@
     const successor = fleet.launch(name, host.dataCentre).control.endpointLease;
     successor.take({ ...READY, sequence: 3 });
     await fleet.time.advance(START_MS);
-    expect(believed(fleet, name)).to.not.include('ready');
+    expect(endpointStates(fleet, name)).to.not.include('ready');
     successor.take({ ...READY, sequence: 5 });
     await fleet.time.advance(GOSSIP_MS);
-    expect(believed(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
+    expect(endpointStates(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
   });
 
-  // Guards against an endpoint that stays away for good, since its reports have no order.
-  it('bind nobody where a later report could not be told from an earlier one', async () => {
+  // Guards against an endpoint that never becomes ready again because its announcements have no
+  // sequence.
+  it('do not apply to a successor if announcements have no sequence', async () => {
     await using fleet = await start();
     const [{ name, host, control }] = fleet.alive as [(typeof fleet.alive)[0]];
     const unordered = { ...READY, born: undefined, sequence: undefined };
@@ -74,11 +76,11 @@
     await fleet.time.advance(START_MS);
     successor.take(unordered);
     await fleet.time.advance(GOSSIP_MS);
-    expect(believed(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
+    expect(endpointStates(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
   });
 
-  // Guards against a process without neighbours that waits for their word for good.
-  it('are asked for in vain where nobody can know of any', async () => {
+  // Guards against a process without neighbours that waits for their answers forever.
+  it('do not hold up announcements of a process without neighbours', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 1 }, pace: PROMPT });
     const [{ control }] = fleet.alive as [(typeof fleet.alive)[0]];
     control.endpointLease.take(READY);
--- a/src/test/membership/faults_test.ts
+++ b/src/test/membership/faults_test.ts
@@ -23,13 +23,13 @@
   waitMs: fc.constantFrom(0, 50, 2_000, 6_000),
 });
 
-/** A fleet whose processes die, restart and lose each other. */
+/** A fleet in which faults can be injected. */
 class FaultyFleet extends Fleet {
   override start(number: number, dataCentre = DATA_CENTRES[number % 2]!) {
     return super.start(number, dataCentre, [0, 1, 2]);
   }
 
-  async provoke({ fault, number, waitMs }: Step): Promise<void> {
+  async inject({ fault, number, waitMs }: Step): Promise<void> {
     const node = this.nodes.find(({ self }) => self.linkPort === number);
     switch (fault) {
       case 'kill':
@@ -61,15 +61,15 @@
 }
 
 describe('membership under faults', () => {
-  // Processes are killed, stopped and restarted, links go silent, and the data centres lose each
-  // other, in any order. Once that ends, all that live must agree on exactly who lives.
-  it('agrees on who lives once faults end', async function test() {
+  // Guards against rosters that stay different after any sequence of kills, stops, restarts, silent
+  // links and partitions between data centres.
+  it('agrees on the live members once faults end', async function test() {
     this.timeout(60_000);
     const property = fc.asyncProperty(fc.array(step, { maxLength: 12 }), async (steps) => {
       await using fleet = new FaultyFleet();
       for (let number = 0; number < SIZE; number++) fleet.start(number);
       await fleet.time.advance(1_000);
-      for (const each of steps) await fleet.provoke(each);
+      for (const each of steps) await fleet.inject(each);
       fleet.network.heal();
       const size = fleet.nodes.length;
       const tookMs = await fleet.until(() => fleet.agrees(size), HEAL_MS);
--- a/src/test/membership/fleet.ts
+++ b/src/test/membership/fleet.ts
@@ -1,4 +1,4 @@
-/** Processes that do nothing but membership, in this process and on fake timers. */
+/** Processes that run membership only, simulated in this process with fake timers. */
 import { type Member } from '../../contracts.js';
 import { type Address, Mesh } from '../../distribution/mesh.js';
 import { HEARTBEAT } from '../../distribution/methods.js';
@@ -46,7 +46,7 @@
     const random = new SeededRandom(seed);
     const replica = new Replica();
     const methods = new Methods();
-    // The network cuts between data centres; here every process stands in one of its own.
+    // The network partitions data centres; with one per process, it can cut any pair.
     this.host = {
       host: self.host,
       port: self.linkPort,
@@ -83,14 +83,14 @@
     return this.self.instance;
   }
 
-  /** Dies as a killed process does: its port refuses and its links close. */
+  /** Stops abruptly like a killed process: its port refuses connections and its links close. */
   async kill(): Promise<void> {
     this.fleet.network.detach(this.host, 'closed');
     this.#stopping.abort();
     await this.mesh[Symbol.asyncDispose]();
   }
 
-  /** Stops as planned. */
+  /** Shuts down gracefully. */
   async stop(): Promise<void> {
     this.roster.leave();
     await this.gossip.news.settle(this.fleet.clock.now() + HEARTBEAT_MS);
@@ -111,7 +111,7 @@
 
   readonly nodes: Node[] = [];
 
-  /** Starts a process; its port in the network is its number. */
+  /** Starts a process whose link port is `number`. */
   start(number: number, dataCentre = 'arima', peers: readonly number[] = []): Node {
     const self = memberOf(`i${number}`, {
       dataCentre,
@@ -121,7 +121,7 @@
     return this.add(self, peers);
   }
 
-  /** Starts a process that is not like the others. */
+  /** Starts a process from its member record; `peers` are link ports. */
   add(self: Member, peers: readonly number[]): Node {
     const addresses = peers.map((port) => ({ host: self.host, port }));
     const node = new Node(this, self, self.linkPort + 1, addresses);
@@ -135,13 +135,13 @@
     }
   }
 
-  /** Lets all know each other without a word, as if they had met long ago. */
+  /** Gives all processes the same roster without sending any message. */
   acquaint(): void {
     const members = this.nodes.map(({ self }) => self);
     for (const { roster } of this.nodes) roster.merge(members, { isBulk: true });
   }
 
-  /** Cuts all pairs of processes of which `isCut` holds, given by their ports. */
+  /** Cuts the network between all pairs of ports for which `isCut` holds. */
   cut(isCut: (one: number, other: number) => boolean): void {
     for (const one of this.nodes) {
       for (const other of this.nodes) {
@@ -152,7 +152,7 @@
     }
   }
 
-  /** Passes time until `condition` holds; resolves to the time passed in milliseconds. */
+  /** Advances time until `condition` holds; resolves to the ms it took, `Infinity` at the limit. */
   async until(condition: () => boolean, limitMs: number, stepMs = 100): Promise<number> {
     const from = this.clock.now();
     while (!condition()) {
@@ -162,7 +162,7 @@
     return this.clock.now() - from;
   }
 
-  /** Whether all of `nodes` hold exactly `size` members for alive. */
+  /** Whether all of `nodes` have equal rosters with exactly `size` members alive. */
   agrees(size: number, nodes: readonly Node[] = this.nodes): boolean {
     const [first] = nodes;
     return nodes.every(
--- a/src/test/membership/gossip_test.ts
+++ b/src/test/membership/gossip_test.ts
@@ -5,8 +5,8 @@
 const JOIN_MS = 20_000;
 const QUIET_MS = 3_000;
 
-/** A fleet whose processes know each other and hold just the links that they need. */
-async function settled(size: number): Promise<Fleet> {
+/** A fleet whose processes know each other and have exactly the links they need. */
+async function settledFleet(size: number): Promise<Fleet> {
   const fleet = new Fleet();
   fleet.startMany(size, ['arima'], []);
   fleet.acquaint();
@@ -19,15 +19,16 @@
   return nodes.reduce((sum, { gossip }) => sum + gossip.suspicions.raised, 0);
 }
 
-function holds(nodes: readonly Node[], instance: string, liveness: string): boolean {
+function allHold(nodes: readonly Node[], instance: string, liveness: string): boolean {
   return nodes.every(({ roster }) => roster.get(instance)?.liveness === liveness);
 }
 
 describe('GossipTask', () => {
-  // The figures of docs/design/membership.md: one endpoint starts to drain.
+  // Guards against a change that is sent more than once each way over a link. One endpoint starts
+  // to drain; docs/design/membership.md uses these figures.
   for (const size of [20, 50, 100]) {
-    it(`sends a change once each way over each link at most, among ${size}`, async () => {
-      await using fleet = await settled(size);
+    it(`sends a change at most once each way over each link in a fleet of ${size}`, async () => {
+      await using fleet = await settledFleet(size);
       const before = fleet.codec.traffic('gossip');
       const [changed] = fleet.nodes;
       changed!.roster.announce({ upstream: 'listings', state: 'draining', slots: 20 });
@@ -53,8 +54,9 @@
     });
   }
 
-  // Guards against a start whose cost grows with the square of the fleet: news gathered too briefly.
-  it('brings sixty that start together to one roster with few messages', async () => {
+  // Guards against messages that grow with the square of the fleet because records are batched too
+  // briefly at the start.
+  it('makes the rosters of sixty processes that start together equal with few messages', async () => {
     await using fleet = new Fleet();
     fleet.startMany(60, ['arima', 'couva', 'siparia']);
     await fleet.until(() => fleet.agrees(60), JOIN_MS);
@@ -69,28 +71,28 @@
     expect({ tookMs, messagesPerProcess: Math.round(messagesPerProcess) }).toMatchSnapshot();
   });
 
-  // A process is killed. Its links close, the dials of its neighbours are refused, and three
-  // seconds later all others stop sending it work.
-  it('takes a killed process for dead within four seconds', async () => {
-    await using fleet = await settled(20);
+  // Guards against work for a killed process: its links close, the dials of its neighbours are
+  // refused, and the suspicion expires after three seconds.
+  it('declares a killed process dead within four seconds', async () => {
+    await using fleet = await settledFleet(20);
     const [victim, ...rest] = fleet.nodes;
     await victim!.kill();
-    const tookMs = await fleet.until(() => holds(rest, victim!.instance, 'dead'), JOIN_MS);
+    const tookMs = await fleet.until(() => allHold(rest, victim!.instance, 'dead'), JOIN_MS);
     expect(tookMs).to.be.below(4_000);
     expect(rest.every(({ mesh }) => !mesh.peer(victim!.instance))).to.equal(true);
   });
 
-  // A machine vanishes without closing anything: only silence tells. Its neighbours close the
-  // silent links, get no answer to a dial, suspect it and take it for dead.
-  it('takes a vanished process for dead within ten seconds, and hears from it again', async () => {
-    await using fleet = await settled(20);
+  // Guards against work for a machine that vanishes without closing its links: neighbours have to
+  // close the silent links, and their dials get no answer.
+  it('declares a vanished process dead within ten seconds, and alive when it returns', async () => {
+    await using fleet = await settledFleet(20);
     const [victim, ...rest] = fleet.nodes;
     fleet.cut((one) => one === 0);
-    const tookMs = await fleet.until(() => holds(rest, victim!.instance, 'dead'), JOIN_MS);
+    const tookMs = await fleet.until(() => allHold(rest, victim!.instance, 'dead'), JOIN_MS);
     expect(tookMs).to.be.below(10_000);
     await fleet.time.advance(30_000);
     expect(rest.every(({ roster }) => roster.counts.alive === 19)).to.equal(true);
-    // It was cut off long enough to believe all others dead. Nobody may take that over.
+    // It was partitioned long enough to believe all others dead, which must not spread.
     expect(victim!.roster.counts.alive).to.equal(1);
     fleet.network.heal();
     let fewest = Infinity;
@@ -102,10 +104,10 @@
     expect(fewest).to.equal(19);
   });
 
-  // Something between two processes loses track of their link. Both ends are well, and a new link
-  // works: nobody may be suspected, or its endpoint would lose work for nothing.
-  it('replaces a silent link without suspecting anybody', async () => {
-    await using fleet = await settled(20);
+  // Guards against suspicions, and so less work for healthy endpoints, when a link goes silent
+  // between two live processes that can open a new one.
+  it('replaces a silent link without raising a suspicion', async () => {
+    await using fleet = await settledFleet(20);
     const [one] = fleet.nodes;
     const neighbour = fleet.nodes.find(({ instance }) => one!.mesh.peer(instance))!;
     const link = one!.mesh.peer(neighbour.instance)!;
@@ -118,45 +120,45 @@
     expect(suspicions(fleet.nodes)).to.equal(0);
   });
 
-  // A planned stop: all others must know before its ports close, or requests would be refused.
-  it('lets everybody know of a planned stop before the links close', async () => {
-    await using fleet = await settled(50);
+  // Guards against refused requests: all others must know of a planned stop before the ports close.
+  it('announces a planned stop to all before the links close', async () => {
+    await using fleet = await settledFleet(50);
     const [leaving, ...rest] = fleet.nodes;
     const stopping = leaving!.stop();
-    const tookMs = await fleet.until(() => holds(rest, leaving!.instance, 'left'), JOIN_MS, 10);
+    const tookMs = await fleet.until(() => allHold(rest, leaving!.instance, 'left'), JOIN_MS, 10);
     await stopping;
     expect(tookMs).to.be.below(500);
     await fleet.time.advance(5_000);
     expect(suspicions(rest)).to.equal(0);
-    expect(holds(rest, leaving!.instance, 'left')).to.equal(true);
+    expect(allHold(rest, leaving!.instance, 'left')).to.equal(true);
   });
 
-  // 18 of 20 die at once, and with most of them all their monitors.
-  it('finds a herd of dead ones though their monitors died with them', async () => {
-    await using fleet = await settled(20);
-    const [one, other, ...herd] = fleet.nodes;
-    await Promise.all(herd.map((node) => node.kill()));
+  // Guards against slow detection when 18 of 20 die at once, most with all of their monitors.
+  it('detects a mass failure in which monitors die together with their members', async () => {
+    await using fleet = await settledFleet(20);
+    const [one, other, ...killed] = fleet.nodes;
+    await Promise.all(killed.map((node) => node.kill()));
     const tookMs = await fleet.until(() => fleet.agrees(2, [one!, other!]), 60_000);
     expect(tookMs).to.be.below(6_000);
   });
 
-  // Two processes were given the same name by mistake. Each refutes the other without end; the rest
-  // of the fleet must not be flooded at the pace at which news travels.
-  it('bounds what two processes of one name cost the others', async () => {
-    await using fleet = await settled(10);
+  // Guards against flooding the fleet when two processes are configured with the same name and
+  // refute each other endlessly.
+  it('bounds the messages caused by two processes with the same name', async () => {
+    await using fleet = await settledFleet(10);
     const { self } = fleet.nodes[0]!;
-    const double = fleet.add({ ...self, linkPort: 11, incarnation: self.incarnation + 1 }, [1]);
+    const duplicate = fleet.add({ ...self, linkPort: 11, incarnation: self.incarnation + 1 }, [1]);
     await fleet.time.advance(20_000);
     const { messages: before } = fleet.codec.traffic('gossip');
-    const { refutations } = double.roster;
+    const { refutations } = duplicate.roster;
     await fleet.time.advance(30_000);
-    expect(double.roster.refutations).to.be.above(refutations);
+    expect(duplicate.roster.refutations).to.be.above(refutations);
     const perSecond = (fleet.codec.traffic('gossip').messages - before) / 30;
     expect(perSecond / fleet.nodes.length).to.be.below(3);
   });
 
-  // A process is paused for half a minute and wakes. The others took it for dead; it may neither
-  // declare them dead nor stay dead itself.
+  // Guards against a process that, after a pause in which it was declared dead, declares the others
+  // dead or stays dead itself.
   it('brings a paused process back without suspecting the others', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 6 } });
     const [paused, ...rest] = fleet.alive;
@@ -167,8 +169,8 @@
     paused!.host.gate.open();
     const isBack = () => fleet.alive.every(({ control }) => control.roster.counts.alive === 6);
     expect(await fleet.time.until(isBack, 30_000)).to.equal(true);
-    const suspects = rest.map(({ control }) => control.roster.self.incarnation);
-    expect(new Set(suspects).size).to.equal(1);
+    const incarnations = rest.map(({ control }) => control.roster.self.incarnation);
+    expect(new Set(incarnations).size).to.equal(1);
     expect(paused!.control.roster.refutations).to.be.above(0);
   });
 });
--- a/src/test/membership/member.ts
+++ b/src/test/membership/member.ts
@@ -1,7 +1,7 @@
-/** Members for tests. */
+/** Member records for tests. */
 import { type Member } from '../../contracts.js';
 
-/** A member that differs from a plain one by `changes`. */
+/** A default member record with `changes` applied. */
 export function memberOf(instance: string, changes: Partial<Member> = {}): Member {
   return {
     instance,
--- a/src/test/membership/probe_test.ts
+++ b/src/test/membership/probe_test.ts
@@ -5,9 +5,9 @@
 const PER_DATA_CENTRE = 6;
 
 describe('Probe', () => {
-  // Two data centres lose each other for two minutes. Each goes on alone and believes the other
-  // dead. When the cut is mended nobody would dial the dead; the probes bring both together.
-  it('brings data centres together again after a cut', async () => {
+  // Guards against two data centres that stay separate after a partition of two minutes, because
+  // each believes the other dead and no longer dials it.
+  it('reconnects data centres after a partition', async () => {
     await using fleet = new Fleet();
     fleet.startMany(SIZE, ['arima', 'couva'], []);
     fleet.acquaint();
@@ -24,13 +24,13 @@
     expect({ apartMs, togetherMs }).toMatchSnapshot();
   });
 
-  // Probes of what stays dead cost dials for good, so their rate must not depend on the size.
+  // Guards against a dial rate that grows with the number of members that stay dead.
   it('probes at a bounded rate', async () => {
     await using fleet = new Fleet();
     fleet.startMany(20);
     await fleet.until(() => fleet.agrees(20), 20_000);
-    const [one, other, ...herd] = fleet.nodes;
-    await Promise.all(herd.map((node) => node.kill()));
+    const [one, other, ...killed] = fleet.nodes;
+    await Promise.all(killed.map((node) => node.kill()));
     await fleet.until(() => fleet.agrees(2, [one!, other!]), 20_000);
     await fleet.time.advance(20_000);
     let dials = 0;
@@ -44,7 +44,7 @@
     count(one!);
     count(other!);
     await fleet.time.advance(60_000);
-    // Two readers, each with at most two targets in a second and a half or more.
+    // Two readers, each with at most two targets per round of at least 1.5 seconds.
     expect(dials).to.be.within(1, 160);
   });
 });
--- a/src/test/membership/ranking_test.ts
+++ b/src/test/membership/ranking_test.ts
@@ -37,7 +37,7 @@
     fc.assert(property, { seed: SEED, numRuns: 40 });
   });
 
-  it('needs a link at one end exactly if the other end wants it or it wants the other', () => {
+  it('needs a link exactly if one end is a neighbour of the other', () => {
     const members = fleetOf(24);
     const rankings = rankingsOf(24);
     const wants = (from: number, to: number) =>
@@ -51,9 +51,9 @@
     }
   });
 
-  // 63 of 64 processes die at once, and with each all of its monitors. The survivor must not find
-  // them one after another: each round of failed dials doubles the number it watches.
-  it('doubles the members watched with each round of suspects', () => {
+  // Guards against detecting failures one after another when 63 of 64 processes die at once, each
+  // together with all of its monitors.
+  it('doubles the monitored members with each round of suspects', () => {
     const members = Array.from({ length: 64 }, (_, index) => memberOf(`i${index}`));
     const roster = new Roster(members[0]!);
     roster.merge(members);
@@ -61,7 +61,7 @@
     const rounds: number[] = [];
     while (roster.counts.suspect < 63 && rounds.length < 63) {
       const { neighbours } = ranking;
-      for (const { instance } of neighbours) roster.mark(instance, 'suspect');
+      for (const { instance } of neighbours) roster.setLiveness(instance, 'suspect');
       rounds.push(roster.counts.suspect);
     }
     expect(rounds).toMatchSnapshot();
--- a/src/test/membership/reconciliation_test.ts
+++ b/src/test/membership/reconciliation_test.ts
@@ -15,7 +15,7 @@
 const FLEET = 740;
 const HEARTBEATS = 2;
 
-/** Two processes with a link between them that do nothing but reconcile. */
+/** Two linked processes that run reconciliation only. */
 class Pair implements Disposable {
   readonly time = new FakeTime();
 
@@ -38,7 +38,7 @@
     this.#add(this.other, far, this.one);
   }
 
-  /** Heartbeats of `one` tell it what hash `other` has. */
+  /** Gives `one` heartbeats with the roster hash of `other`, and time to reconcile. */
   async reconcile(): Promise<void> {
     await this.time.advance(5_000);
     const [peer] = this.#peers;
@@ -70,7 +70,7 @@
 }
 
 describe('Reconciliation', () => {
-  it('sends what differs, and not two whole rosters', async () => {
+  it('sends only differing records instead of two whole rosters', async () => {
     using pair = new Pair();
     const members = fleet();
     pair.one.merge(members);
@@ -87,9 +87,9 @@
     expect({ differing, whole }).toMatchSnapshot();
   });
 
-  // A process was cut off and believes all others dead. What it says after its return must not
-  // take their work away, and what it has forgotten or buried must not come back either.
-  it('takes deaths for suspicions, and offers no dead to who does not know them', async () => {
+  // Guards against a process that returns from a partition with all others dead in its roster: it
+  // must neither take work from live members nor bring back dead ones that others have removed.
+  it('turns deaths into suspicions, and does not send dead members that the other end lacks', async () => {
     using pair = new Pair();
     pair.one.merge([memberOf('b'), memberOf('c', { liveness: 'left' })]);
     pair.other.merge([memberOf('b', { liveness: 'dead' }), memberOf('d', { liveness: 'dead' })]);
--- a/src/test/membership/statement_test.ts
+++ b/src/test/membership/statement_test.ts
@@ -6,8 +6,8 @@
 const ENDPOINT = { upstream: 'listings', state: 'ready', slots: 13 } as const;
 
 describe('hashOf', () => {
-  // Guards against rosters that differ and compare as equal: they would never be reconciled.
-  it('differs with each field of a statement', () => {
+  // Guards against differing rosters that compare as equal and so are never reconciled.
+  it('differs with each field of a record', () => {
     const plain = memberOf('arima-1', { endpoint: ENDPOINT });
     const changes: readonly Partial<Member>[] = [
       { dataCentre: 'couva' },
@@ -28,8 +28,8 @@
     expect(new Set(all).size).to.equal(changes.length + 2);
   });
 
-  // Hashes are XORed: were they alike for alike statements, changes of several would cancel out.
-  it('does not let the same step of two members cancel out', () => {
+  // Guards against equal changes of several members that cancel out when their hashes are XORed.
+  it('does not let the same change of two members cancel out', () => {
     const step = (instance: string) =>
       hashOf(memberOf(instance, { sequence: 4 })) ^ hashOf(memberOf(instance, { sequence: 5 }));
     const steps = Array.from({ length: 1_000 }, (_, index) => step(`arima-${index}`));
--- a/src/test/membership/suspicions_test.ts
+++ b/src/test/membership/suspicions_test.ts
@@ -1,12 +1,12 @@
 import { install } from '@sinonjs/fake-timers';
 import { expect } from 'chai';
-import { MAX_REMEMBERED, REMEMBER_MS, Retention } from '../../membership/retention.js';
+import { MAX_RETAINED, RETENTION_MS, Retention } from '../../membership/retention.js';
 import { Roster } from '../../membership/roster.js';
-import { SUSPICION_MS, Suspicions } from '../../membership/suspicions.js';
+import { SUSPICION_TIMEOUT_MS, Suspicions } from '../../membership/suspicions.js';
 import { TimerClock } from '../../runtime/clock.js';
 import { memberOf } from './member.js';
 
-/** A clock of a process that can be paused: nothing wakes until it goes on. */
+/** Clock of a process that can be paused: no sleep ends before `pausedUntil`. */
 class PausedClock extends TimerClock {
   pausedUntil = 0;
 
@@ -25,15 +25,15 @@
 }
 
 describe('Suspicions', () => {
-  it('takes a suspect for dead at the deadline, unless it has refuted', async () => {
+  it('declares a suspect dead at the deadline unless it has refuted', async () => {
     using world = setUp();
     const { roster, clock, timers } = world;
     const stopping = new AbortController();
     roster.merge([memberOf('c')]);
     void new Suspicions(roster, clock).run(stopping.signal);
-    roster.mark('b', 'suspect');
-    roster.mark('c', 'suspect');
-    await timers.tickAsync(SUSPICION_MS - 500);
+    roster.setLiveness('b', 'suspect');
+    roster.setLiveness('c', 'suspect');
+    await timers.tickAsync(SUSPICION_TIMEOUT_MS - 500);
     roster.merge([memberOf('c', { incarnation: 2 })]);
     expect(roster.counts).to.include({ suspect: 1, dead: 0 });
     await timers.tickAsync(1_000);
@@ -41,14 +41,14 @@
     stopping.abort();
   });
 
-  // A process suspects a neighbour and is then paused. When it wakes, the deadline has long
-  // passed and the refutation lies unread: it must not declare the neighbour dead.
-  it('starts deadlines anew after a pause of its own', async () => {
+  // Guards against declaring a neighbour dead after a pause of this process, when the deadline has
+  // passed and the refutation is still unread.
+  it('restarts deadlines after a pause of this process', async () => {
     using world = setUp();
     const { roster, clock, timers } = world;
     const stopping = new AbortController();
     void new Suspicions(roster, clock).run(stopping.signal);
-    roster.mark('b', 'suspect');
+    roster.setLiveness('b', 'suspect');
     clock.pausedUntil = clock.now() + 20_000;
     await timers.tickAsync(20_500);
     expect(roster.get('b')!.liveness).to.equal('suspect');
@@ -60,34 +60,34 @@
 });
 
 describe('Retention', () => {
-  // A member died; a process that was paused or cut off for half an hour still says it is alive.
-  // Believed, it would be given work again. What is remembered outlives such statements.
-  it('outlives stale statements, then forgets', () => {
+  // Guards against work for a dead member that a process paused or partitioned for half an hour
+  // still reports as alive.
+  it('retains dead members longer than stale records arrive, then removes them', () => {
     using world = setUp();
     const { roster, clock, timers } = world;
     const retention = new Retention(roster, clock);
-    roster.mark('b', 'dead');
-    timers.tick(REMEMBER_MS / 2);
+    roster.setLiveness('b', 'dead');
+    timers.tick(RETENTION_MS / 2);
     retention.sweep();
     roster.merge([memberOf('b')]);
     expect(roster.get('b')!.liveness).to.equal('dead');
     const { hash } = roster;
-    timers.tick(REMEMBER_MS);
+    timers.tick(RETENTION_MS);
     retention.sweep();
     expect(roster.get('b')).to.equal(undefined);
     expect(roster.hash).to.equal(hash);
   });
 
-  it('remembers a bounded number, and the latest of them', () => {
+  it('retains a bounded number of members, the latest ones', () => {
     using world = setUp();
     const { roster, clock } = world;
     const retention = new Retention(roster, clock);
-    const last = 2 * MAX_REMEMBERED;
+    const last = 2 * MAX_RETAINED;
     for (let number = 1; number <= last; number++) {
       roster.merge([memberOf(`i${number}`, { liveness: 'left' })]);
     }
     retention.sweep();
-    expect(roster.counts.left).to.equal(MAX_REMEMBERED);
+    expect(roster.counts.left).to.equal(MAX_RETAINED);
     expect(roster.get(`i${last}`)).not.to.equal(undefined);
   });
 });
--- a/src/test/membership/traffic.ts
+++ b/src/test/membership/traffic.ts
@@ -1,4 +1,4 @@
-/** Counts what crosses the links of a test, by method. */
+/** Counts the messages and bytes sent over links in a test, by method. */
 import { HEARTBEAT } from '../../distribution/methods.js';
 import { MsgpackCodec } from '../../link/codec.js';
 
@@ -12,12 +12,12 @@
 export class CountingCodec extends MsgpackCodec {
   readonly #sent = new Map<string, Traffic>();
 
-  /** All that was sent besides heartbeats. */
+  /** Bytes sent, without heartbeats. */
   get bytes(): number {
     return [...this.#sent.values()].reduce((sum, { bytes }) => sum + bytes, 0);
   }
 
-  /** What was sent with a method; answers count under the empty name. */
+  /** Messages and bytes sent with a method; responses count under the empty name. */
   traffic(method: string): Traffic {
     return this.#sent.get(method) ?? NONE;
   }
