--- a/src/link/codec.ts
+++ b/src/link/codec.ts
@@ -1,32 +1,35 @@
-/** How messages become bytes. */
+/** Encoding of link messages. */
 import { decode, encode } from '@msgpack/msgpack';
 
-/** Longer messages are not remembered: they would be held for nothing until the next one. */
-const REMEMBERED_BYTES = 4_096;
-const NOTHING = new Uint8Array();
+/** Longer messages are not cached: their bytes would stay in memory until the next message. */
+const MAX_CACHED_BYTES = 4_096;
+const EMPTY = new Uint8Array();
 
 export abstract class Codec {
   abstract encode(message: unknown): Uint8Array;
 
-  /** Throws if the bytes are not a message. */
+  /** Throws if the bytes are not a valid message. */
   abstract decode(bytes: Uint8Array): unknown;
 }
 
-/** Compact; the default. */
+/** MessagePack; compact, and the default. */
 export class MsgpackCodec extends Codec {
-  #message: unknown;
+  #lastMessage: unknown;
 
-  #bytes = NOTHING;
+  #lastBytes = EMPTY;
 
-  /** A message that goes to several ends in turn is encoded once; it must not change meanwhile. */
+  /**
+   * Encodes a message. One that is sent over several links in turn is encoded once, so it must not
+   * be changed meanwhile.
+   */
   encode(message: unknown): Uint8Array {
-    if (message !== this.#message) {
+    if (message !== this.#lastMessage) {
       const bytes = encode(message, { ignoreUndefined: true });
-      if (bytes.length > REMEMBERED_BYTES) return bytes;
-      this.#bytes = bytes;
-      this.#message = message;
+      if (bytes.length > MAX_CACHED_BYTES) return bytes;
+      this.#lastBytes = bytes;
+      this.#lastMessage = message;
     }
-    return this.#bytes;
+    return this.#lastBytes;
   }
 
   decode(bytes: Uint8Array): unknown {
@@ -34,7 +37,7 @@
   }
 }
 
-/** Readable on the wire, for looking into a fleet. */
+/** JSON; readable on the wire, for debugging. */
 export class JsonCodec extends Codec {
   encode(message: unknown): Uint8Array {
     return Buffer.from(JSON.stringify(message));
--- a/src/link/deflate_codec.ts
+++ b/src/link/deflate_codec.ts
@@ -1,20 +1,20 @@
-/** Compresses messages on the way, where it pays. */
-/* eslint-disable n/no-sync -- A codec encodes and decodes at once, so that the messages of a link
-   keep their order; pages bound what one call has to do. */
+/** Compresses messages if that makes them smaller. */
+/* eslint-disable n/no-sync -- Encoding and decoding are synchronous so that the messages of a
+   link keep their order; pages bound the work of one call. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Codec } from './codec.js';
 
-/** First byte of each encoded message. */
+/** Marker in the first byte of each encoded message. */
 const PLAIN = 0;
 const DEFLATED = 1;
 
-/** Shorter messages go as they are: heartbeats and calls would hardly shrink. */
+/** Shorter messages are not compressed: heartbeats and calls would hardly shrink. */
 const THRESHOLD_BYTES = 256;
 
 export class DeflateCodec extends Codec {
   constructor(
     private readonly codec: Codec,
-    /** The largest message that is unpacked, in bytes. */
+    /** Size limit of a decompressed message, in bytes. */
     private readonly maxBytes: number,
   ) {
     super();
@@ -23,12 +23,12 @@
   encode(message: unknown): Uint8Array {
     const bytes = this.codec.encode(message);
     const deflated = bytes.length < THRESHOLD_BYTES ? bytes : deflateRawSync(bytes);
-    return deflated.length < bytes.length ? mark(DEFLATED, deflated) : mark(PLAIN, bytes);
+    return deflated.length < bytes.length ? addMarker(DEFLATED, deflated) : addMarker(PLAIN, bytes);
   }
 
   /**
-   * A few bytes can unpack to gigabytes. Without a bound, one such message would end the process
-   * for want of memory; it throws instead, and the link that brought it is closed.
+   * Decodes a message. Throws if it decompresses to more than `maxBytes`, and the link is closed:
+   * without a limit, a few bytes could expand to gigabytes and exhaust the memory of the process.
    */
   decode(bytes: Uint8Array): unknown {
     const body = bytes.subarray(1);
@@ -38,12 +38,12 @@
       case DEFLATED:
         return this.codec.decode(inflateRawSync(body, { maxOutputLength: this.maxBytes }));
       default:
-        throw new Error(`unknown kind of message: ${bytes[0]}`);
+        throw new Error(`unknown message marker: ${bytes[0]}`);
     }
   }
 }
 
-function mark(kind: number, bytes: Uint8Array): Uint8Array {
+function addMarker(kind: number, bytes: Uint8Array): Uint8Array {
   const marked = new Uint8Array(1 + bytes.length);
   marked[0] = kind;
   marked.set(bytes, 1);
--- a/src/link/link.ts
+++ b/src/link/link.ts
@@ -1,20 +1,21 @@
-/** A connection between two processes that carries messages in order, until it closes. */
+/** A connection between two processes that delivers messages in order until it is closed. */
 export abstract class Link implements AsyncDisposable {
-  /** Aborts when the link is closed by either side or has failed. */
+  /** Aborts when either side closes the link or the link fails. */
   abstract readonly closed: AbortSignal;
 
-  /** Bytes that went over the link, framing included. */
+  /** Bytes sent over the link, including framing. */
   abstract readonly bytesSent: number;
 
+  /** Bytes received over the link, including framing. */
   abstract readonly bytesReceived: number;
 
   /**
-   * Hands a message over for sending. A message on a closed link is dropped. Throws with verdict
-   * `not-run` if it is too large.
+   * Queues a message for sending; on a closed link it is dropped. Throws an `OutcomeError` with
+   * verdict `not-run` if it is too large.
    */
   abstract send(message: unknown): void;
 
-  /** Sets the one receiver. Messages that came before are kept for it. */
+  /** Sets the only receiver, which also gets the messages that arrived before. */
   abstract receive(receiver: (message: unknown) => void): void;
 
   abstract close(): void;
--- a/src/link/long_message_codec.ts
+++ b/src/link/long_message_codec.ts
@@ -1,39 +1,42 @@
-/** Compresses long messages on the way; short ones go as they are. */
-/* eslint-disable n/no-sync -- As in `DeflateCodec`: the messages of a link keep their order. */
+/** Compresses long messages; short ones are sent as they are. */
+/* eslint-disable n/no-sync -- As in `DeflateCodec`: synchronous, to keep messages in order. */
 import { deflateRawSync, inflateRawSync } from 'node:zlib';
 import { Codec } from './codec.js';
 
 /**
  * First byte of a compressed message. A message is a map or a list, and neither MessagePack nor
- * JSON begins one with this byte, so what is not compressed needs no mark.
+ * JSON begins one with this byte, so uncompressed messages need no marker.
  */
 const DEFLATED = 1;
 /** Shorter messages are sent as they are: heartbeats, calls and most gossip. */
-const LONG_BYTES = 4_096;
-/** Resources are so much alike that more effort takes time and spares nothing. */
+const THRESHOLD_BYTES = 4_096;
+/** Resources are so similar that higher levels take longer without saving any bytes. */
 const LEVEL = 1;
 
-/** Configurations shrink to about a ninth: links between machines are narrow, and requests use them too. */
+/**
+ * Compresses configurations to about a ninth, because links between machines have little bandwidth,
+ * which requests share.
+ */
 export class LongMessageCodec extends Codec {
-  /** A message that goes to several ends is compressed once. */
+  /** Compressed bytes by message, so that one sent over several links is compressed once. */
   readonly #encoded = new WeakMap<object, Uint8Array>();
 
   constructor(
     private readonly codec: Codec,
-    /** The largest message that is unpacked, in bytes; beyond it decoding throws. */
+    /** Size limit of a decompressed message, in bytes; decoding throws beyond it. */
     private readonly maxBytes: number,
   ) {
     super();
   }
 
   encode(message: unknown): Uint8Array {
-    const isKept = typeof message === 'object' && message !== null;
-    const known = isKept ? this.#encoded.get(message) : undefined;
-    if (known) return known;
+    const isCacheable = typeof message === 'object' && message !== null;
+    const cached = isCacheable ? this.#encoded.get(message) : undefined;
+    if (cached) return cached;
     const bytes = this.codec.encode(message);
-    if (bytes.length < LONG_BYTES) return bytes;
+    if (bytes.length < THRESHOLD_BYTES) return bytes;
     const encoded = Buffer.concat([Buffer.of(DEFLATED), deflateRawSync(bytes, { level: LEVEL })]);
-    if (isKept) this.#encoded.set(message, encoded);
+    if (isCacheable) this.#encoded.set(message, encoded);
     return encoded;
   }
 
--- a/src/link/tcp_link.ts
+++ b/src/link/tcp_link.ts
@@ -1,4 +1,4 @@
-/** Links over TCP: each message is a frame of a four-byte length and its encoded bytes. */
+/** Links over TCP. Each frame is a four-byte big-endian length followed by an encoded message. */
 import { connect as connectSocket, type Socket } from 'node:net';
 import { OutcomeError } from '../contracts.js';
 import { type Codec } from './codec.js';
@@ -6,8 +6,8 @@
 
 const HEADER_BYTES = 4;
 /**
- * Longest frame, in bytes: several times a page of a snapshot or the roster of a large fleet. A
- * longer one means that the other end talks nonsense.
+ * Maximum length of an encoded message, in bytes: several times a page of a snapshot or the roster
+ * of a large fleet. A longer one means that the far end does not speak this protocol.
  */
 export const MAX_FRAME_BYTES = 4 * 1024 * 1024;
 
@@ -16,7 +16,7 @@
 
   #receiver: ((message: unknown) => void) | undefined;
 
-  readonly #early: unknown[] = [];
+  readonly #undelivered: unknown[] = [];
 
   #buffered: Buffer = Buffer.alloc(0);
 
@@ -26,7 +26,7 @@
   ) {
     super();
     socket.setNoDelay(true);
-    socket.on('data', (chunk: Buffer) => this.#take(chunk));
+    socket.on('data', (chunk: Buffer) => this.#receiveChunk(chunk));
     socket.on('error', () => this.close());
     socket.on('close', () => this.#closing.abort());
   }
@@ -55,7 +55,7 @@
 
   receive(receiver: (message: unknown) => void): void {
     this.#receiver = receiver;
-    for (const message of this.#early.splice(0)) receiver(message);
+    for (const message of this.#undelivered.splice(0)) receiver(message);
   }
 
   close(): void {
@@ -63,7 +63,7 @@
     this.#closing.abort();
   }
 
-  #take(chunk: Buffer): void {
+  #receiveChunk(chunk: Buffer): void {
     let buffer = this.#buffered.length > 0 ? Buffer.concat([this.#buffered, chunk]) : chunk;
     while (buffer.length >= HEADER_BYTES) {
       const end = HEADER_BYTES + buffer.readUInt32BE(0);
@@ -78,7 +78,7 @@
     this.#buffered = buffer;
   }
 
-  /** A frame that does not decode closes the link: what follows it cannot be trusted either. */
+  /** Delivers a message. An invalid one closes the link, since what follows cannot be trusted. */
   #deliver(frame: Buffer): void {
     let message: unknown;
     try {
@@ -88,17 +88,20 @@
       return;
     }
     if (this.#receiver) this.#receiver(message);
-    else this.#early.push(message);
+    else this.#undelivered.push(message);
   }
 }
 
-/** The other end would close the link on such a frame, and it would be sent again on the next. */
+/** Error for a message on which the far end would close the link, only to be sent it again. */
 function tooLarge(bytes: number): OutcomeError {
-  const message = `a message of ${bytes} bytes; ${MAX_FRAME_BYTES} are allowed`;
+  const message = `message too large: ${bytes} bytes, ${MAX_FRAME_BYTES} are allowed`;
   return new OutcomeError(message, { verdict: 'not-run', reason: 'too-large' });
 }
 
-/** Opens a link; rejects with verdict `not-run` when the other end is not there in time. */
+/**
+ * Opens a link. Rejects with an `OutcomeError` of verdict `not-run` if the connection fails or is
+ * not established within `timeoutMs`.
+ */
 export function connect(
   host: string,
   port: number,
@@ -112,7 +115,10 @@
       const props = { verdict: 'not-run', reason: 'unreachable' } as const;
       reject(new OutcomeError(`no link to ${host}:${port}`, props, { cause }));
     };
-    const timer = setTimeout(() => fail(new Error('timeout')), timeoutMs);
+    const timer = setTimeout(
+      () => fail(new Error(`no connection within ${timeoutMs} ms`)),
+      timeoutMs,
+    );
     socket.once('error', fail);
     socket.once('close', () => clearTimeout(timer));
     socket.once('connect', () => {
--- a/src/test/link/deflate_codec_test.ts
+++ b/src/test/link/deflate_codec_test.ts
@@ -8,7 +8,7 @@
 const codec = new DeflateCodec(inner, MAX_BYTES);
 
 describe('DeflateCodec', () => {
-  it('compresses what is long and alike, and gives it back', () => {
+  it('round-trips a long repetitive message in compressed form', () => {
     const message = {
       versions: Array.from({ length: 50 }, (_, index) => ({ name: `u-${index}` })),
     };
@@ -17,21 +17,21 @@
     expect([inner.encode(message).length, bytes.length]).toMatchSnapshot();
   });
 
-  it('leaves a short message as it is, but for one byte', () => {
+  it('adds only a marker byte to a short message', () => {
     const message = ['hb', 300, 'c0ffee00', 'z'];
     const bytes = codec.encode(message);
     expect(bytes.length).to.equal(inner.encode(message).length + 1);
     expect(codec.decode(bytes)).to.deep.equal(message);
   });
 
-  // A message of a few bytes unpacks to far more than any that is sent. Decoding fails before the
-  // memory is taken, and the link closes; so it does for bytes that are no message at all.
-  it('throws on what unpacks beyond the bound and on what is no message', () => {
-    // eslint-disable-next-line n/no-sync -- The codec's own way.
+  // Guards against a message of a few bytes that decompresses to more memory than a process has,
+  // and against accepting bytes that are not a message.
+  it('throws on a message that decompresses beyond the limit and on invalid bytes', () => {
+    // eslint-disable-next-line n/no-sync -- As the codec does it.
     const bomb = deflateRawSync(inner.encode('0'.repeat(20 * MAX_BYTES)));
     expect(bomb.length).to.be.lessThan(MAX_BYTES);
     expect(() => codec.decode(Buffer.concat([Buffer.of(1), bomb]))).to.throw(RangeError);
-    expect(() => codec.decode(Buffer.of(7, 1, 2))).to.throw('unknown kind of message: 7');
+    expect(() => codec.decode(Buffer.of(7, 1, 2))).to.throw('unknown message marker: 7');
     expect(() => codec.decode(Buffer.of(1, 255, 255))).to.throw();
   });
 });
--- a/src/test/link/peer_test.ts
+++ b/src/test/link/peer_test.ts
@@ -7,8 +7,8 @@
 
 const NEWS: Method<number, unknown> = { name: 'news', params: z.number(), result: z.unknown() };
 
-/** The near end of a link; what is sent is kept, what comes in is the test's. */
-class HeldLink extends Link {
+/** The near end of a link: records what is sent, and the test delivers what arrives. */
+class RecordingLink extends Link {
   readonly sent: unknown[] = [];
 
   readonly bytesSent = 0;
@@ -36,9 +36,9 @@
   }
 }
 
-function introduced(taken: number[]): { peer: Peer; link: HeldLink } {
-  const link = new HeldLink();
-  const methods = new Methods().on(NEWS, (_, news) => void taken.push(news));
+function introducedPeer(received: number[]): { peer: Peer; link: RecordingLink } {
+  const link = new RecordingLink();
+  const methods = new Methods().on(NEWS, (_, news) => void received.push(news));
   const peer = new Peer(link, methods, new MachineClock());
   const member = memberOf('arima-1');
   peer.hello = { member, version: 0, digest: '', isReady: true };
@@ -46,29 +46,29 @@
 }
 
 describe('Peer', () => {
-  // Guards against a message that does not fit its schema ending the process or the link.
-  it('passes over a notification that does not fit, and takes the next', () => {
-    const taken: number[] = [];
-    const { peer, link } = introduced(taken);
+  // Guards against an invalid notification that ends the process or closes the link.
+  it('ignores an invalid notification and handles the next', () => {
+    const received: number[] = [];
+    const { peer, link } = introducedPeer(received);
     link.deliver({ jsonrpc: '2.0', method: 'news', params: 'not a number' });
     link.deliver({ jsonrpc: '2.0', method: 'unheard-of', params: 1 });
     link.deliver({ jsonrpc: '2.0', method: 'news', params: 2 });
-    expect(taken).to.deep.equal([2]);
+    expect(received).to.deep.equal([2]);
     expect(peer.link.closed.aborted).to.equal(false);
   });
 
-  // Guards against bytes that are no message ending the process.
-  it('passes over what is no message at all', () => {
-    const taken: number[] = [];
-    const { link } = introduced(taken);
+  // Guards against a value that is not a message and ends the process.
+  it('ignores values that are not messages', () => {
+    const received: number[] = [];
+    const { link } = introducedPeer(received);
     for (const message of [null, undefined, 7, 'text', [], {}]) link.deliver(message);
     link.deliver({ jsonrpc: '2.0', method: 'news', params: 1 });
-    expect(taken).to.deep.equal([1]);
+    expect(received).to.deep.equal([1]);
   });
 
-  // Guards against a message too long for a frame ending the task that sends it.
-  it('goes on when a message is too long to be sent', () => {
-    const ends = [introduced([]), introduced([])];
+  // Guards against a message too long for a frame that ends the task sending it.
+  it('continues with the next peer when a message is too long to be sent', () => {
+    const ends = [introducedPeer([]), introducedPeer([])];
     ends[0]!.link.send = () => {
       throw new Error('too long');
     };
@@ -77,16 +77,16 @@
     expect(ends[1]!.link.sent).to.have.length(1);
   });
 
-  it('takes notifications in the order in which they came', () => {
-    const taken: number[] = [];
-    const { link } = introduced(taken);
+  it('handles notifications in order of arrival', () => {
+    const received: number[] = [];
+    const { link } = introducedPeer(received);
     for (const params of [1, 2, 3]) link.deliver({ jsonrpc: '2.0', method: 'news', params });
-    expect(taken).to.deep.equal([1, 2, 3]);
+    expect(received).to.deep.equal([1, 2, 3]);
   });
 
-  // Guards against one closed link keeping a heartbeat from all the others.
-  it('sends the same to all whose link is open', () => {
-    const ends = [introduced([]), introduced([]), introduced([])];
+  // Guards against one closed link that keeps a heartbeat from all other peers.
+  it('sends the same notification over all open links', () => {
+    const ends = [introducedPeer([]), introducedPeer([]), introducedPeer([])];
     ends[1]!.link.close();
     notifyAll(
       ends.map(({ peer }) => peer),
--- a/src/test/link/tcp_link_test.ts
+++ b/src/test/link/tcp_link_test.ts
@@ -6,7 +6,7 @@
 
 const HEADER_BYTES = 4;
 
-/** A link whose far end is the test: what is written to `wire` is what comes in. */
+/** A link whose far end is the test: it receives what is written to `wire`. */
 function linkOver(wire: PassThrough): TcpLink {
   return new TcpLink(Object.assign(wire, { setNoDelay: () => {} }) as unknown as Socket, codec);
 }
@@ -21,7 +21,7 @@
 }
 
 describe('TcpLink', () => {
-  it('puts frames together however they are cut', async () => {
+  it('reassembles frames however they are split', async () => {
     const wire = new PassThrough();
     await using link = linkOver(wire);
     const received: unknown[] = [];
@@ -32,9 +32,9 @@
     expect(received).to.deep.equal(['one', { two: 2 }]);
   });
 
-  // The other end announces a frame larger than any there is, or sends bytes that are no message.
-  // Nothing of it is kept in memory, nothing that follows is trusted: the link closes.
-  it('closes on a frame that is too long and on one that does not decode', async () => {
+  // Guards against buffering a frame of any announced length, and against accepting what follows
+  // bytes that are not a message.
+  it('closes on a frame that is too long and on one that cannot be decoded', async () => {
     for (const bytes of [frame('', MAX_FRAME_BYTES + 1), Buffer.of(0, 0, 0, 1, 0xc1)]) {
       const wire = new PassThrough();
       await using link = linkOver(wire);
@@ -44,7 +44,7 @@
     }
   });
 
-  it('refuses to send what the other end would close the link on', async () => {
+  it('refuses to send a message on which the far end would close the link', async () => {
     await using link = linkOver(new PassThrough());
     expect(() => link.send('x'.repeat(MAX_FRAME_BYTES + 1))).to.throw('are allowed');
     expect(link.closed.aborted).to.equal(false);
