--- a/src/runtime/clock.ts
+++ b/src/runtime/clock.ts
@@ -1,18 +1,18 @@
-/** Time as the decisions see it. All instants are milliseconds since the epoch. */
+/** Source of time, which tests replace. All instants are in milliseconds since the epoch. */
 export abstract class Clock {
-  /** Current instant in milliseconds. Never runs backwards within one process. */
+  /** Current instant in milliseconds; never goes backwards within one process. */
   abstract now(): number;
 
   /**
-   * Resolves at `deadline`, or as soon as `signal` aborts; it never rejects, so that a task's
-   * loop can end by checking its signal.
+   * Resolves at `deadline` or when `signal` aborts. Never rejects, so that a loop can end by
+   * checking its signal.
    */
   abstract sleepUntil(deadline: number, signal?: AbortSignal): Promise<void>;
 }
 
 /**
- * The machine's clock. It is anchored once to the wall clock and then follows the monotonic
- * clock: a jump of the wall clock would otherwise fire, or postpone, every deadline at once.
+ * The machine's clock: set once from the wall clock, it then follows the monotonic clock, so that a
+ * jump of the wall clock does not fire or postpone all deadlines at once.
  */
 export class MachineClock extends Clock {
   readonly #anchor = Date.now() - performance.now();
@@ -26,7 +26,7 @@
   }
 }
 
-/** A clock over the global timers, which fake timers replace in tests. */
+/** A clock based on `Date` and the global timers, which fake timers replace in tests. */
 export class TimerClock extends Clock {
   now(): number {
     return Date.now();
@@ -48,7 +48,7 @@
       signal?.removeEventListener('abort', finish);
       resolve();
     };
-    // Timers drop fractions: rounded down, they would fire before the deadline.
+    // Timers drop fractions of a millisecond and would fire before the deadline.
     const timer = setTimeout(finish, Math.ceil(Math.max(0, delay)));
     signal?.addEventListener('abort', finish, { once: true });
   });
--- a/src/runtime/latest.ts
+++ b/src/runtime/latest.ts
@@ -1,16 +1,16 @@
-/** Maps of bounded size that keep what was set last. */
+/** Maps of bounded size. */
 
-/** Sets an entry as the latest; beyond `most` entries the one that was set longest ago goes. */
+/** Sets an entry; beyond `maxSize` entries, deletes the least recently set one. */
 export function setLatest<Key, Value>(
   map: Map<Key, Value>,
   key: Key,
   value: Value,
-  most: number,
+  maxSize: number,
 ): void {
-  // Reinserted, since a map keeps the order in which keys came first.
+  // Deleted first, because setting an existing key would keep its old place in the order.
   map.delete(key);
   map.set(key, value);
-  if (map.size <= most) return;
+  if (map.size <= maxSize) return;
   const [oldest] = map.keys();
   if (oldest !== undefined) map.delete(oldest);
 }
--- a/src/runtime/ownership.ts
+++ b/src/runtime/ownership.ts
@@ -1,15 +1,13 @@
-/**
- * Owns resources and disposes of them in reverse order. Node 20 has no `AsyncDisposableStack`.
- */
+/** Disposes of resources in reverse order, like `AsyncDisposableStack`, which Node 20 lacks. */
 export class Ownership implements AsyncDisposable {
-  readonly #owned: AsyncDisposable[] = [];
+  readonly #resources: AsyncDisposable[] = [];
 
   use<T extends AsyncDisposable>(resource: T): T {
-    this.#owned.push(resource);
+    this.#resources.push(resource);
     return resource;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    for (const resource of this.#owned.reverse()) await resource[Symbol.asyncDispose]();
+    for (const resource of this.#resources.reverse()) await resource[Symbol.asyncDispose]();
   }
 }
--- a/src/runtime/random.ts
+++ b/src/runtime/random.ts
@@ -1,19 +1,19 @@
 import { randomUUID } from 'node:crypto';
 
-/** Chance as the decisions see it. */
+/** Source of random numbers, which tests replace by a seeded one. */
 export abstract class Random {
   /** A number in [0, 1). */
   abstract next(): number;
 
-  /** An identifier that no other process draws. */
+  /** An identifier that is unique across processes. */
   abstract nonce(): string;
 
-  /** A whole number in [0, bound). */
+  /** An integer in [0, bound). */
   below(bound: number): number {
     return Math.floor(this.next() * bound);
   }
 
-  /** The items in random order. */
+  /** A copy of the items in random order. */
   shuffled<T>(items: readonly T[]): T[] {
     const shuffled = [...items];
     for (let end = shuffled.length; end > 1; end--) {
@@ -23,13 +23,13 @@
     return shuffled;
   }
 
-  /** Full jitter: a delay in [0, cap) milliseconds, which spreads a herd evenly. */
+  /** Full jitter: a delay in [0, capMs) ms, which spreads simultaneous attempts evenly. */
   jitter(capMs: number): number {
     return this.next() * capMs;
   }
 }
 
-/** The machine's generator. */
+/** The random number generators of Node.js. */
 export class MachineRandom extends Random {
   next(): number {
     return Math.random();
@@ -40,7 +40,7 @@
   }
 }
 
-/** A seeded generator (mulberry32): the same seed gives the same run. */
+/** A seeded generator (mulberry32): the same seed gives the same sequence. */
 export class SeededRandom extends Random {
   #state: number;
 
--- a/src/runtime/search.ts
+++ b/src/runtime/search.ts
@@ -1,7 +1,8 @@
 /** Binary search. */
 
 /**
- * The first index of a sorted list of which `isAtOrAfter` holds; `length` if there is none.
+ * The first index of a sorted list of `length` items for which `isAtOrAfter` holds; `length` if
+ * there is none.
  *
  * @example
  * ```ts
--- a/src/test/runtime/search_test.ts
+++ b/src/test/runtime/search_test.ts
@@ -5,7 +5,7 @@
 const SEED = 13;
 
 describe('firstIndex', () => {
-  it('finds what a plain search finds', () => {
+  it('finds the same index as a linear search', () => {
     const sorted = fc
       .array(fc.integer({ min: 0, max: 20 }))
       .map((list) => list.sort((a, b) => a - b));
