--- a/src/membership/announcement.ts
+++ b/src/membership/announcement.ts
@@ -24,7 +24,7 @@
 
 /** Lease duration in milliseconds; upstreams announce several times within it. */
 export const DEFAULT_LEASE_MS = 3_000;
-/** After a refused connection, `ready` announcements are ignored for this long, in milliseconds. */
+/** `ready` counts as `down` for this long after a refused connection, in milliseconds. */
 export const REFUSAL_HOLDOFF_MS = 1_000;
 /** Longest sleep between two expiry checks, in milliseconds; each wake-up costs an idle process. */
 const MAX_CHECK_INTERVAL_MS = 1_000;
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -62,23 +62,23 @@
     return this.#conflicts;
   }
 
-  /** Lists the members registered in all data centres, as soon as the call budget allows. */
+  /** Merges the members registered in all data centres into the roster, within the call budget. */
   async read(signal: AbortSignal): Promise<void> {
     if (await this.#calls.acquire(signal)) await this.#list();
   }
 
   /** Keeps the object of this data centre up to date while this process is its root. */
   async run(signal: AbortSignal): Promise<void> {
-    const { firstCheckMs: firstLookMs, checkIntervalMs: lookEveryMs } = this.pace;
-    let wait = firstLookMs + this.random.jitter(firstLookMs);
+    const { firstCheckMs, checkIntervalMs } = this.pace;
+    let wait = firstCheckMs + this.random.jitter(firstCheckMs);
     while (!signal.aborted) {
       await this.clock.sleepUntil(this.clock.now() + wait, signal);
       if (signal.aborted) return;
       try {
         if (this.ranking.isRoot) await this.#update(signal);
-        wait = lookEveryMs;
+        wait = checkIntervalMs;
       } catch {
-        wait = Math.min(MAX_RETRY_DELAY_MS, 2 * wait) - this.random.jitter(firstLookMs);
+        wait = Math.min(MAX_RETRY_DELAY_MS, 2 * wait) - this.random.jitter(firstCheckMs);
         // The platform is unreachable or a response was lost, so the stored value is unknown.
         // Meanwhile membership spreads over links and heartbeats.
         this.#cached = undefined;
--- a/src/membership/news.ts
+++ b/src/membership/news.ts
@@ -63,25 +63,25 @@
   async settle(deadline: number, minConfirmed = Infinity): Promise<void> {
     const items = this.#takePending();
     let confirmed = 0;
-    const isEnough = new AbortController();
+    const isConfirmed = new AbortController();
     const sending = this.mesh.peers.map(async (peer) => {
       const members = unknownTo(peer, items);
       if (members.length === 0) return;
       this.#sent += 1;
       await peer.request(GOSSIP, { members }, deadline);
       confirmed += 1;
-      if (confirmed >= minConfirmed) isEnough.abort();
+      if (confirmed >= minConfirmed) isConfirmed.abort();
     });
-    await Promise.race([Promise.allSettled(sending), aborted(isEnough.signal)]);
+    await Promise.race([Promise.allSettled(sending), aborted(isConfirmed.signal)]);
   }
 
   #enqueue(members: readonly Member[], origin: Origin): void {
     for (const member of members) {
-      // A refutation of its own differs from the record that the neighbour sent.
+      // A changed record about this process is a refutation, not the record that was received.
       const isOwn = member.instance === this.roster.self.instance;
       if (origin.isBulk && !isOwn) continue;
-      const knownTo = new Set(origin.instance === undefined || isOwn ? [] : [origin.instance]);
-      this.#pending.set(member.instance, { member, knownBy: knownTo });
+      const knownBy = new Set(origin.instance === undefined || isOwn ? [] : [origin.instance]);
+      this.#pending.set(member.instance, { member, knownBy });
     }
     if (this.#pending.size > 0) this.#flushing ??= this.#flushLater();
   }
@@ -119,7 +119,7 @@
 
 function unknownTo(peer: Peer, items: readonly PendingRecord[]): Member[] {
   const instance = peer.member?.instance ?? '';
-  return items.filter(({ knownBy: knownTo }) => !knownTo.has(instance)).map(({ member }) => member);
+  return items.filter(({ knownBy }) => !knownBy.has(instance)).map(({ member }) => member);
 }
 
 function aborted(signal: AbortSignal): Promise<void> {
--- a/src/membership/upkeep.ts
+++ b/src/membership/upkeep.ts
@@ -9,8 +9,8 @@
 import { isGone } from './statement.js';
 
 /** First and highest cap of the jittered wait before dialling again, in milliseconds. */
-const REDIAL_FIRST_CAP_MS = 500;
-const REDIAL_CAP_MS = 15_000;
+const INITIAL_REDIAL_CAP_MS = 500;
+const MAX_REDIAL_CAP_MS = 15_000;
 /** A link open for this long, in milliseconds, counts as stable: the next dial does not wait. */
 const STABLE_MS = 10_000;
 /** A link that neither end needs is closed after this long, in milliseconds. */
@@ -81,7 +81,7 @@
   async #backOff(instance: string): Promise<void> {
     const attempts = this.#attempts.get(instance) ?? 0;
     if (attempts === 0) return;
-    const cap = Math.min(REDIAL_CAP_MS, REDIAL_FIRST_CAP_MS * 2 ** (attempts - 1));
+    const cap = Math.min(MAX_REDIAL_CAP_MS, INITIAL_REDIAL_CAP_MS * 2 ** (attempts - 1));
     await this.clock.sleepUntil(this.clock.now() + this.random.jitter(cap), this.stopping);
   }
 
--- a/src/test/membership/bootstrap_test.ts
+++ b/src/test/membership/bootstrap_test.ts
@@ -12,15 +12,15 @@
 /** Peak calls per second until `isDone`, the time that took and all calls until then. */
 async function measure(fleet: Fleet, isDone: () => boolean, limitMs: number) {
   const { calls } = fleet.platform;
-  let most = 0;
+  let peak = 0;
   let tookMs = 0;
   while (!isDone() && tookMs < limitMs) {
     const before = calls.reads + calls.writes;
     await fleet.time.advance(1_000);
-    most = Math.max(most, calls.reads + calls.writes - before);
+    peak = Math.max(peak, calls.reads + calls.writes - before);
     tookMs += 1_000;
   }
-  return { tookMs, mostPerSecond: most, calls: calls.reads + calls.writes };
+  return { tookMs, mostPerSecond: peak, calls: calls.reads + calls.writes };
 }
 
 describe('Bootstrap', () => {
--- a/src/test/membership/fleet.ts
+++ b/src/test/membership/fleet.ts
@@ -136,7 +136,7 @@
   }
 
   /** Gives all processes the same roster without sending any message. */
-  acquaint(): void {
+  shareRosters(): void {
     const members = this.nodes.map(({ self }) => self);
     for (const { roster } of this.nodes) roster.merge(members, { isBulk: true });
   }
--- a/src/test/membership/gossip_test.ts
+++ b/src/test/membership/gossip_test.ts
@@ -9,7 +9,7 @@
 async function settledFleet(size: number): Promise<Fleet> {
   const fleet = new Fleet();
   fleet.startMany(size, ['arima'], []);
-  fleet.acquaint();
+  fleet.shareRosters();
   await fleet.time.advance(QUIET_MS);
   expect(fleet.agrees(size)).to.equal(true);
   return fleet;
--- a/src/test/membership/probe_test.ts
+++ b/src/test/membership/probe_test.ts
@@ -10,7 +10,7 @@
   it('reconnects data centres after a partition', async () => {
     await using fleet = new Fleet();
     fleet.startMany(SIZE, ['arima', 'couva'], []);
-    fleet.acquaint();
+    fleet.shareRosters();
     await fleet.time.advance(3_000);
     fleet.cut((one, other) => one % 2 !== other % 2);
     const isApart = () =>
