--- a/src/configuration/summary.ts
+++ b/src/configuration/summary.ts
@@ -26,7 +26,7 @@
 }
 
 /** The buckets in which two summaries differ. */
-export function differing(one: readonly number[], other: readonly number[]): number[] {
+export function differingBuckets(one: readonly number[], other: readonly number[]): number[] {
   return Array.from({ length: BUCKETS }, (_, bucket) => bucket).filter(
     (bucket) => one[bucket] !== other[bucket],
   );
--- a/src/contracts/survey.ts
+++ b/src/contracts/survey.ts
@@ -40,4 +40,4 @@
 export type Scope = z.infer<typeof Scope>;
 
 /** The first ones suffice to see what is wrong, and bound the answer's size. */
-export const MAX_NAMED = 50;
+export const MAX_SURVEY_ENTRIES = 50;
--- a/src/distribution/confirmation.ts
+++ b/src/distribution/confirmation.ts
@@ -1,4 +1,6 @@
-/** Finds the end of the log for processes that start, at a bounded cost to the platform. */
+/**
+ * Determines the current head of the log for starting processes, at a bounded cost to the platform.
+ */
 import { type Methods, type Peer } from '../link/peer.js';
 import { type Ranking } from '../membership/ranking.js';
 import { type Roster } from '../membership/roster.js';
@@ -7,23 +9,26 @@
 import { CONFIRM } from './methods.js';
 import { type Reader } from './reader.js';
 
-/** Each level answers this much sooner than the one below gives up, in milliseconds. */
-const LEVEL_MS = 150;
-/** Least time between two rounds, in milliseconds: a reader reads the log so often at most. */
-const ROUND_MS = 200;
+/**
+ * Margin by which each level of the tree answers before the level below gives up, in milliseconds.
+ */
+const LEVEL_MARGIN_MS = 150;
+/** Minimum time between two rounds, in milliseconds; bounds how often a reader reads the log. */
+const MIN_ROUND_INTERVAL_MS = 200;
 
 /**
- * Were each process of a herd to read the log itself, a fleet that restarts would cost the
- * platform a call per process. Here all questions that come in while a round runs go into the next
- * one: a process asks its parent once for all below it, and a reader reads once for all.
+ * Batches queries for the head of the log. If every process of a restarting fleet read the log
+ * itself, each would cost the platform a call. Here, all queries that arrive during a round are
+ * answered by the next round: a process asks its parent once on behalf of its whole subtree, and a
+ * reader reads the log once for all queries.
  */
 export class Confirmation {
-  #round: Promise<number> | undefined;
+  #currentRound: Promise<number> | undefined;
 
-  #next: Promise<number> | undefined;
+  #nextRound: Promise<number> | undefined;
 
-  /** Instant before which no other round begins. */
-  #notBefore = 0;
+  /** Earliest instant at which the next round may start. */
+  #nextRoundAt = 0;
 
   constructor(
     private readonly reader: Reader,
@@ -39,44 +44,48 @@
   }
 
   /**
-   * Resolves to a version that was the end of the log at some time after this call, so that no
-   * process can have held more before it. Rejects if no reader reaches the platform in time.
+   * Resolves to a version that was the head of the log at some time after this call, so no process
+   * can have held a later version before the call. Rejects if no reader reaches the platform before
+   * the deadline.
    */
   confirm(deadline: number): Promise<number> {
-    this.#next ??= this.#begin(deadline);
-    return this.#next;
+    this.#nextRound ??= this.#startRound(deadline);
+    return this.#nextRound;
   }
 
-  /** A round that is under way began before the question, so it does not answer it. */
-  async #begin(deadline: number): Promise<number> {
-    await this.#round?.catch(() => {});
-    await this.clock.sleepUntil(this.#notBefore);
-    this.#notBefore = this.clock.now() + ROUND_MS;
-    this.#round = this.#next;
-    this.#next = undefined;
-    return this.#find(deadline);
+  /** Waits for the current round first: it started before the query, so it cannot answer it. */
+  async #startRound(deadline: number): Promise<number> {
+    await this.#currentRound?.catch(() => {});
+    await this.clock.sleepUntil(this.#nextRoundAt);
+    this.#nextRoundAt = this.clock.now() + MIN_ROUND_INTERVAL_MS;
+    this.#currentRound = this.#nextRound;
+    this.#nextRound = undefined;
+    return this.#findHead(deadline);
   }
 
-  async #find(deadline: number): Promise<number> {
+  async #findHead(deadline: number): Promise<number> {
     const { parent, isReader } = this.ranking;
-    if (!isReader) return this.#ask(parent ? [this.mesh.peer(parent.instance)] : [], deadline);
+    if (!isReader) return this.#askAny(parent ? [this.mesh.peer(parent.instance)] : [], deadline);
     try {
-      const half = (deadline - this.clock.now()) / 2;
-      return await this.reader.confirm(this.clock.now() + half);
+      const halfMs = (deadline - this.clock.now()) / 2;
+      return await this.reader.confirm(this.clock.now() + halfMs);
     } catch {
-      return this.#ask(this.#elsewhere(), deadline);
+      return this.#askAny(this.#remotePeers(), deadline);
     }
   }
 
-  /** Readers of other data centres may reach the platform when those of this one do not. */
-  #elsewhere(): Peer[] {
+  /**
+   * Peers in other data centres: readers there may reach the platform when those in this one
+   * cannot.
+   */
+  #remotePeers(): Peer[] {
     const { dataCentre } = this.roster.self;
     return this.mesh.peers.filter(({ member }) => member && member.dataCentre !== dataCentre);
   }
 
-  /** The first answer will do; rejects if there is none. */
-  #ask(peers: readonly (Peer | undefined)[], deadline: number): Promise<number> {
-    const withinMs = Math.max(0, deadline - this.clock.now() - LEVEL_MS);
+  /** Resolves to the first answer; rejects if no peer answers. */
+  #askAny(peers: readonly (Peer | undefined)[], deadline: number): Promise<number> {
+    const withinMs = Math.max(0, deadline - this.clock.now() - LEVEL_MARGIN_MS);
     const linked = peers.filter((peer) => peer !== undefined);
     return Promise.any(
       linked.map(async (peer) => (await peer.request(CONFIRM, { withinMs }, deadline)).head),
--- a/src/distribution/distributor.ts
+++ b/src/distribution/distributor.ts
@@ -1,4 +1,7 @@
-/** Moves versions from process to process: down the tree, and to whoever is behind. */
+/**
+ * Distributes versions between processes: pushes them down the tree and pulls what this process
+ * lacks.
+ */
 import { type Heartbeat, type Recall, type Recalled, type Version } from '../contracts.js';
 import { type Methods, notifyAll, type Peer } from '../link/peer.js';
 import { READERS, type Ranking } from '../membership/ranking.js';
@@ -7,21 +10,21 @@
 import { type Random } from '../runtime/random.js';
 import { type Mesh } from './mesh.js';
 import { AHEAD, PULL, PUSH, RECALL } from './methods.js';
-import { CHANGE_BYTES, sizeOf } from './pages.js';
+import { MAX_CHANGE_BYTES, versionBytes } from './pages.js';
 import { type Profile } from './profile.js';
 import { Puller } from './puller.js';
-import { Relay } from './relay.js';
-import { Remembered } from './remembered.js';
+import { PullResponder } from './relay.js';
+import { InstanceVersions } from './remembered.js';
 import { type Replica } from './replica.js';
 
 export class Distributor {
   readonly #puller: Puller;
 
-  readonly #remembered = new Remembered();
+  readonly #instanceVersions = new InstanceVersions();
 
-  #gathered: Version[] = [];
+  #pendingVersions: Version[] = [];
 
-  #spreading: Promise<void> | undefined;
+  #scheduledPropagation: Promise<void> | undefined;
 
   constructor(
     private readonly replica: Replica,
@@ -35,116 +38,121 @@
     private readonly isReady: () => boolean,
   ) {
     this.#puller = new Puller(replica, mesh, roster, profile, clock, random);
-    const relay = new Relay(replica, clock);
-    replica.onApplied((versions) => this.#applied(versions));
+    const responder = new PullResponder(replica, clock);
+    replica.onApplied((versions) => this.#handleApplied(versions));
     mesh.onOpen((peer) => {
       peer.isReady = peer.hello?.isReady ?? false;
-      this.#note(peer, peer.version);
+      this.#recordVersion(peer, peer.version);
     });
     methods
-      .on(PUSH, (peer, { versions }) => this.#pushed(peer, versions))
+      .on(PUSH, (peer, { versions }) => this.#handlePush(peer, versions))
       .on(AHEAD, (peer, ahead) => {
         peer.isReady ||= ahead.isReady;
-        this.#note(peer, ahead.version);
+        this.#recordVersion(peer, ahead.version);
       })
-      .on(PULL, (_, pull) => relay.answer(pull))
-      .on(RECALL, (_, recall) => this.#recalled(recall));
+      .on(PULL, (_, pull) => responder.answer(pull))
+      .on(RECALL, (_, recall) => this.#handleRecall(recall));
   }
 
-  /** Notes the version of a peer's heartbeat, and pulls if it is ahead. */
+  /** Records the version in a peer's heartbeat, and pulls if the peer is ahead. */
   heard(peer: Peer, { version, digest }: Heartbeat): void {
     const { current } = this.replica;
-    // Both ends note it: neither can tell whose chain is the accepted one.
+    // Both ends record a refusal, as neither can tell which chain is the accepted one.
     if (version === current.number && !current.digest.startsWith(digest)) {
-      this.replica.reject(version, 'chain');
+      this.replica.recordRefusal(version, 'chain');
     }
-    this.#note(peer, version);
+    this.#recordVersion(peer, version);
   }
 
-  /** Tells all peers that this process is ready, so that they can vouch for it later. */
+  /**
+   * Tells all peers that this process is ready, so that they can confirm its version if it
+   * restarts.
+   */
   announce(): void {
     const version = this.replica.current.number;
     for (const peer of this.mesh.peers) peer.notify(AHEAD, { version, isReady: true });
   }
 
-  #note(peer: Peer, version: number): void {
+  #recordVersion(peer: Peer, version: number): void {
     peer.version = Math.max(peer.version, version);
-    const isSure = peer.isReady && !this.#isReader(peer);
-    if (peer.member) this.#remembered.note(peer.member, version, isSure);
+    const isUpperBound = peer.isReady && !this.#isReader(peer);
+    if (peer.member) this.#instanceVersions.record(peer.member, version, isUpperBound);
     this.#puller.wake();
   }
 
   #isReader({ member }: Peer): boolean {
-    const first = member ? this.ranking.ranked(member.dataCentre).slice(0, READERS) : [];
-    return first.some(({ instance }) => instance === member?.instance);
+    const readers = member ? this.ranking.ranked(member.dataCentre).slice(0, READERS) : [];
+    return readers.some(({ instance }) => instance === member?.instance);
   }
 
-  #recalled({ instance, incarnation }: Recall): Recalled {
-    const remembered = this.#remembered.before(instance, incarnation);
+  #handleRecall({ instance, incarnation }: Recall): Recalled {
+    const remembered = this.#instanceVersions.versionBefore(instance, incarnation);
     return { remembered, holds: this.replica.current.number };
   }
 
-  #applied(versions: readonly Version[]): void {
-    this.#gathered.push(...versions);
-    const { gatherMs } = this.profile;
-    if (gatherMs === 0) this.#spread();
-    else this.#spreading ??= this.#spreadLater(gatherMs);
+  #handleApplied(versions: readonly Version[]): void {
+    this.#pendingVersions.push(...versions);
+    const { batchWindowMs } = this.profile;
+    if (batchWindowMs === 0) this.#propagate();
+    else this.#scheduledPropagation ??= this.#propagateLater(batchWindowMs);
   }
 
-  async #spreadLater(gatherMs: number): Promise<void> {
-    await this.clock.sleepUntil(this.clock.now() + gatherMs);
-    this.#spreading = undefined;
-    this.#spread();
+  async #propagateLater(batchWindowMs: number): Promise<void> {
+    await this.clock.sleepUntil(this.clock.now() + batchWindowMs);
+    this.#scheduledPropagation = undefined;
+    this.#propagate();
   }
 
-  #spread(): void {
-    const versions = this.#gathered;
-    this.#gathered = [];
+  #propagate(): void {
+    const versions = this.#pendingVersions;
+    this.#pendingVersions = [];
     const isChild = new Set(this.ranking.children.map(({ instance }) => instance));
     const children: Peer[] = [];
     for (const peer of this.mesh.peers) {
       if (peer.member && isChild.has(peer.member.instance)) children.push(peer);
-      else if (this.profile.pushes) this.#hint(peer);
+      else if (this.profile.pushes) this.#announceVersion(peer);
     }
-    this.#feed(children, versions);
+    this.#sendToChildren(children, versions);
   }
 
   /**
-   * Children are sent the versions themselves if the profile has it so; those that lack the same
-   * ones get one message, which is encoded once. For whom they are too large for one message, or
-   * who lacks earlier ones too, hears that they are there and pulls.
+   * Pushes the versions to the children, if the profile says so. Children that lack the same
+   * versions share one message, which is encoded once. A child is only told the version number, and
+   * pulls, if the versions are too large for one message or if it lacks earlier versions too.
    */
-  #feed(children: readonly Peer[], versions: readonly Version[]): void {
-    const alike = new Map<number, Peer[]>();
+  #sendToChildren(children: readonly Peer[], versions: readonly Version[]): void {
+    const peersByMissing = new Map<number, Peer[]>();
     for (const peer of children) {
       const count = versions.filter(({ number }) => number > peer.version).length;
-      alike.set(count, [...(alike.get(count) ?? []), peer]);
+      peersByMissing.set(count, [...(peersByMissing.get(count) ?? []), peer]);
     }
-    for (const [count, peers] of alike) {
-      const news = versions.slice(versions.length - count);
-      if (this.#mayPush(news)) notifyAll(peers, PUSH, { versions: news });
-      else peers.forEach((peer) => this.#hint(peer));
+    for (const [count, peers] of peersByMissing) {
+      const missing = versions.slice(versions.length - count);
+      if (this.#canPush(missing)) notifyAll(peers, PUSH, { versions: missing });
+      else peers.forEach((peer) => this.#announceVersion(peer));
     }
   }
 
-  #mayPush(versions: readonly Version[]): boolean {
+  #canPush(versions: readonly Version[]): boolean {
     if (!this.profile.pushes || versions.length === 0) return false;
-    const bytes = versions.reduce((sum, version) => sum + sizeOf(version), 0);
-    return bytes <= CHANGE_BYTES;
+    const bytes = versions.reduce((sum, version) => sum + versionBytes(version), 0);
+    return bytes <= MAX_CHANGE_BYTES;
   }
 
   /**
-   * Were only the tree told, a relay that dies in mid-push would keep its subtree waiting for the
-   * next heartbeats. The neighbours on the ring, and other data centres, hear of the version at
-   * once and pull it if the tree does not bring it.
+   * Tells a peer the number of the current version, unless the peer is known to hold it. Peers
+   * outside the own subtree are told, too: if only the tree were informed, a parent that dies
+   * during a push would leave its subtree waiting for the next heartbeats. Ring neighbours and
+   * peers in other data centres learn of the version at once, and pull it if the tree does not
+   * deliver it.
    */
-  #hint(peer: Peer): void {
+  #announceVersion(peer: Peer): void {
     const version = this.replica.current.number;
     if (version > peer.version) peer.notify(AHEAD, { version, isReady: this.isReady() });
   }
 
-  #pushed(peer: Peer, versions: readonly Version[]): void {
+  #handlePush(peer: Peer, versions: readonly Version[]): void {
     this.replica.apply(versions, 'push');
-    this.#note(peer, versions.at(-1)?.number ?? 0);
+    this.#recordVersion(peer, versions.at(-1)?.number ?? 0);
   }
 }
--- a/src/distribution/feed.ts
+++ b/src/distribution/feed.ts
@@ -1,11 +1,12 @@
-/** Where readers get the accepted versions from. */
+/** The source from which readers get accepted versions. */
 export abstract class Feed {
   /**
-   * Brings the replica to what was accepted at some time after this call. Resolves to false if a
-   * version was refused on the way; rejects if the source is out of reach until `deadline`.
+   * Brings the replica to a version that was the head at some time after this call. Resolves to
+   * false if a version was refused on the way; rejects if the source cannot be reached before
+   * `deadline`.
    */
   abstract catchUp(deadline: number): Promise<boolean>;
 
-  /** Waits until `deadline` for what follows, and puts it in force; resolves like `catchUp`. */
+  /** Waits until `deadline` for later versions, and applies them; resolves like `catchUp`. */
   abstract follow(deadline: number, signal: AbortSignal): Promise<boolean>;
 }
--- a/src/distribution/mesh.ts
+++ b/src/distribution/mesh.ts
@@ -1,4 +1,6 @@
-/** The links of one process: kept to its neighbours, answered from anybody. */
+/**
+ * The links of one process: maintains links to its neighbours, and accepts links from any process.
+ */
 import { setMaxListeners } from 'node:events';
 import { type Hello, OutcomeError } from '../contracts.js';
 import { type Link } from '../link/link.js';
@@ -15,17 +17,19 @@
 export { type Address, Dialer } from './dialer.js';
 
 const HELLO_TIMEOUT_MS = 2_000;
-/** Links accepted per second, and at once after a quiet time; the rest is turned away. */
+/**
+ * Rate limit for accepted links: links per second, and burst size. Links beyond it are rejected.
+ */
 const ACCEPTED_PER_SECOND = 50;
-const ACCEPTED_AT_ONCE = 100;
+const ACCEPT_BURST = 100;
 
 export class Mesh implements AsyncDisposable {
   readonly #peers = new Map<string, Peer>();
 
-  /** The far ends of all open links, those that have not introduced themselves included. */
-  readonly #open = new Set<Peer>();
+  /** Remote ends of all open links, including those that have not sent a hello yet. */
+  readonly #openPeers = new Set<Peer>();
 
-  readonly #admission: TokenBucket;
+  readonly #acceptLimiter: TokenBucket;
 
   readonly #upkeep: Upkeep;
 
@@ -35,7 +39,7 @@
 
   readonly #closeListeners = new Set<(peer: Peer) => void>();
 
-  #turnedAway = 0;
+  #linksRejected = 0;
 
   constructor(
     private readonly roster: Roster,
@@ -46,29 +50,29 @@
     random: Random,
     private readonly hello: () => Hello,
   ) {
-    // A wait for each neighbour that is dialled; the default bound would log a warning at ten.
+    // One listener per neighbour being dialled; Node.js logs a warning above ten by default.
     setMaxListeners(0, this.#stopping.signal);
-    this.#admission = new TokenBucket(clock, ACCEPTED_PER_SECOND, ACCEPTED_AT_ONCE);
+    this.#acceptLimiter = new TokenBucket(clock, ACCEPTED_PER_SECOND, ACCEPT_BURST);
     this.#upkeep = new Upkeep(this, roster, ranking, clock, random, this.#stopping.signal);
     methods.on(HELLO, (peer, theirs) => {
-      this.#opened(peer, theirs);
+      this.#handleHello(peer, theirs);
       return this.hello();
     });
   }
 
-  /** Peers that have introduced themselves. */
+  /** Peers that have sent a hello. */
   get peers(): readonly Peer[] {
     return [...this.#peers.values()];
   }
 
-  /** Links that are open, those that have not introduced themselves included. */
+  /** Number of open links, including those whose remote end has not sent a hello yet. */
   get linksOpen(): number {
-    return this.#open.size;
+    return this.#openPeers.size;
   }
 
-  /** Links that were turned away because too many came at once. */
-  get turnedAway(): number {
-    return this.#turnedAway;
+  /** Number of links rejected by the rate limit. */
+  get linksRejected(): number {
+    return this.#linksRejected;
   }
 
   peer(instance: string): Peer | undefined {
@@ -83,40 +87,41 @@
     this.#closeListeners.add(listener);
   }
 
-  /** Closes links that serve neither end any more, until the signal aborts. */
+  /** Closes links that neither end needs any more, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
     await this.#upkeep.run(signal);
   }
 
   /**
-   * Answers a link that another process has opened. After a herd's death all others dial at once;
-   * a relay that greeted them all would miss its heartbeats and be taken for dead itself. Whoever
-   * is turned away comes back later, with jitter, and takes it for no sign of death.
+   * Accepts a link opened by another process, within the rate limit. When many processes restart at
+   * once, all of them dial at once; a process that exchanged hellos with all of them would miss its
+   * heartbeats and be considered dead itself. A rejected process retries with jitter, and does not
+   * treat the rejection as a sign of death.
    */
   accept(link: Link): void {
-    if (this.#stopping.signal.aborted || !this.#admission.take()) {
-      this.#turnedAway += 1;
+    if (this.#stopping.signal.aborted || !this.#acceptLimiter.take()) {
+      this.#linksRejected += 1;
       link.close();
       return;
     }
     const peer = new Peer(link, this.methods, this.clock);
-    this.#watchOver(peer);
+    this.#track(peer);
     void this.#awaitHello(peer);
   }
 
   /**
-   * Opens a link. Rejects with an `OutcomeError` of reason `unreachable`, or `turned-away` if the
-   * far end closed the link before it introduced itself.
+   * Opens a link. Rejects with an `OutcomeError` of reason `unreachable`, or of reason
+   * `turned-away` if the remote end closed the link before it sent a hello.
    */
   async dial({ host, port }: Address): Promise<Peer> {
     const link = await this.dialer.dial(host, port);
     const peer = new Peer(link, this.methods, this.clock);
     peer.isDialled = true;
-    this.#watchOver(peer);
+    this.#track(peer);
     if (this.#stopping.signal.aborted) link.close();
     try {
       const theirs = await peer.request(HELLO, this.hello(), this.clock.now() + HELLO_TIMEOUT_MS);
-      this.#opened(peer, theirs);
+      this.#handleHello(peer, theirs);
       return peer;
     } catch (cause) {
       const reason = link.closed.aborted ? 'turned-away' : 'unreachable';
@@ -131,74 +136,82 @@
     }
   }
 
-  /** Opens a link to an address from the settings; undefined if nobody is there. */
+  /** Opens a link to an address from the settings; resolves to undefined if that fails. */
   async introduce(address: Address): Promise<Peer | undefined> {
     return this.dial(address).catch(() => undefined);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stopping.abort();
-    for (const peer of [...this.#open]) peer.link.close();
+    for (const peer of [...this.#openPeers]) peer.link.close();
   }
 
-  #watchOver(peer: Peer): void {
-    this.#open.add(peer);
-    peer.link.closed.addEventListener('abort', () => this.#closed(peer), { once: true });
+  #track(peer: Peer): void {
+    this.#openPeers.add(peer);
+    peer.link.closed.addEventListener('abort', () => this.#handleClosed(peer), { once: true });
   }
 
-  /** A link on which nobody introduces itself would be kept for good: no heartbeat judges it. */
+  /**
+   * Closes a link whose remote end sends no hello in time. It would stay open forever: heartbeats
+   * are only checked on links with a hello.
+   */
   async #awaitHello(peer: Peer): Promise<void> {
     await this.clock.sleepUntil(this.clock.now() + HELLO_TIMEOUT_MS, peer.link.closed);
     if (!peer.hello) peer.link.close();
   }
 
-  #opened(peer: Peer, hello: Hello): void {
+  #handleHello(peer: Peer, hello: Hello): void {
     const { instance } = hello.member;
     if (instance === this.roster.self.instance) {
-      // One of the addresses in the settings is often the process's own.
+      // The process dialled itself: the addresses in the settings often include its own.
       peer.link.close();
       return;
     }
     peer.hello = hello;
     peer.version = Math.max(peer.version, hello.version);
-    if (!this.#enter(peer, hello)) return;
+    if (!this.#register(peer, hello)) return;
     this.roster.merge([hello.member], { instance });
-    this.#contradict(peer);
+    this.#sendKnownStatement(peer);
     for (const listener of this.#openListeners) listener(peer);
   }
 
-  /** A peer that is believed dead, or has a clock behind its earlier life's, must learn of it. */
-  #contradict(peer: Peer): void {
-    const held = this.roster.get(peer.member!.instance)!;
+  /**
+   * Sends a peer the statement held about it, if that says it is not alive or has a higher
+   * incarnation (the peer's clock went back over a restart), so that the peer can refute it.
+   */
+  #sendKnownStatement(peer: Peer): void {
+    const known = this.roster.get(peer.member!.instance)!;
     const { incarnation } = peer.member!;
-    if (held.incarnation > incarnation || held.liveness !== 'alive') {
-      peer.notify(GOSSIP, { members: [held] });
+    if (known.incarnation > incarnation || known.liveness !== 'alive') {
+      peer.notify(GOSSIP, { members: [known] });
     }
   }
 
   /**
-   * Two processes that dial each other at once end up with two links, and each might use another
-   * one: both would look silent. The link dialled by the lower instance prevails. Only its dialler
-   * closes the other, because it alone knows that both ends have opened the one that stays.
+   * Registers a peer by its instance. If two processes dial each other at once, two links result;
+   * if each end used a different one, both would look silent. The link dialled by the end with the
+   * lower instance name is kept. Only that end closes the other link, because only the dialler of
+   * the kept link knows that both ends have opened it.
    */
-  #enter(peer: Peer, { member }: Hello): boolean {
+  #register(peer: Peer, { member }: Hello): boolean {
     const { instance, incarnation } = member;
-    const rival = this.#peers.get(instance);
-    const isRival = rival && rival !== peer && rival.member?.incarnation === incarnation;
-    const lower = this.roster.self.instance < instance;
-    const prevails = !isRival || peer.isDialled === lower;
-    if (prevails) this.#peers.set(instance, peer);
-    if (isRival && lower) (prevails ? rival : peer).link.close();
-    return prevails;
-  }
-
-  #closed(peer: Peer): void {
-    this.#open.delete(peer);
+    const existing = this.#peers.get(instance);
+    const isDuplicate =
+      existing && existing !== peer && existing.member?.incarnation === incarnation;
+    const isLower = this.roster.self.instance < instance;
+    const isKept = !isDuplicate || peer.isDialled === isLower;
+    if (isKept) this.#peers.set(instance, peer);
+    if (isDuplicate && isLower) (isKept ? existing : peer).link.close();
+    return isKept;
+  }
+
+  #handleClosed(peer: Peer): void {
+    this.#openPeers.delete(peer);
     const instance = peer.member?.instance;
     if (instance === undefined || this.#peers.get(instance) !== peer) return;
     this.#peers.delete(instance);
-    // The far end may have chosen the other one of two links to the same process.
-    const other = [...this.#open].find(({ member }) => member?.instance === instance);
+    // The remote end may have kept the other of two links to the same process.
+    const other = [...this.#openPeers].find(({ member }) => member?.instance === instance);
     if (other) {
       this.#peers.set(instance, other);
       return;
--- a/src/distribution/methods.ts
+++ b/src/distribution/methods.ts
@@ -1,4 +1,4 @@
-/** The methods that processes offer each other. */
+/** The JSON-RPC methods that processes offer each other. */
 import * as z from 'zod';
 import {
   Ahead,
@@ -38,13 +38,13 @@
 export const AHEAD: Method<Ahead, unknown> = { name: 'ahead', params: Ahead, result: Nothing };
 export const PULL: Method<Pull, Pulled> = { name: 'pull', params: Pull, result: Pulled };
 export const GOSSIP: Method<Gossip, unknown> = { name: 'gossip', params: Gossip, result: Nothing };
-/** Asks where the rosters of two neighbours differ. */
+/** Asks in which buckets the rosters of two neighbours differ. */
 export const RECONCILE: Method<BucketHashes, RosterDifference> = {
   name: 'reconcile',
   params: BucketHashes,
   result: RosterDifference,
 };
-/** Exchanges the statements that differ. */
+/** Exchanges the statements about members that differ. */
 export const EXCHANGE: Method<RosterExchange, Gossip> = {
   name: 'exchange',
   params: RosterExchange,
@@ -66,13 +66,13 @@
   result: Confirmed,
 };
 export const SURVEY: Method<Scope, Survey> = { name: 'survey', params: Scope, result: Survey };
-/** Deaths of upstreams and clearances of suspected requests that are news to the sender. */
+/** Reports deaths of upstream instances and clearances of suspected requests. */
 export const BULLETIN: Method<Bulletin, unknown> = {
   name: 'bulletin',
   params: Bulletin,
   result: Nothing,
 };
-/** Orders that upstreams move to another version, and the evidence about it. */
+/** Reports rollout orders for upstreams, and evidence about the new versions. */
 export const ROLLOUT: Method<RolloutNews, unknown> = {
   name: 'rollout',
   params: RolloutNews,
--- a/src/distribution/pages.ts
+++ b/src/distribution/pages.ts
@@ -1,89 +1,94 @@
-/** A whole configuration cut into pages that are made once and served to many. */
+/** Splits a configuration into pages, which are built once and served to many processes. */
 import { type Resource, type Snapshot, type SnapshotPage, type Version } from '../contracts.js';
 import { type Replica } from './replica.js';
 
-/** Size of a page, or of several versions in one answer, in bytes of JSON. */
-export const PAGE_BYTES = 128 * 1024;
+/** Maximum size of a page, and of several versions in one answer, in bytes of JSON. */
+export const MAX_PAGE_BYTES = 128 * 1024;
 
 /**
- * Largest change that goes as one message, in bytes of JSON. Were a larger one than a page cut off
- * here, each process would pull the whole configuration instead of what it lacks.
+ * Maximum size of a change that is sent as one message, in bytes of JSON. With the limit of a page
+ * instead, every process would have to pull the whole configuration for any larger change.
  */
-export const CHANGE_BYTES = 1024 * 1024;
+export const MAX_CHANGE_BYTES = 1024 * 1024;
 
-/** One version, cut up. */
-interface Cut {
+/** A snapshot of one version, split into pages. */
+interface PagedSnapshot {
   readonly number: number;
   readonly pages: readonly SnapshotPage[];
 }
 
-/** Versions whose pages are kept: whoever is collecting the earlier one goes on with it. */
-const MAX_CUTS = 2;
+/**
+ * Number of snapshots whose pages are kept, so that a process that is collecting the previous one
+ * can finish.
+ */
+const MAX_PAGED_SNAPSHOTS = 2;
 
-export class Pages {
-  /** The latest comes first. */
-  #cuts: readonly Cut[] = [];
+export class SnapshotPager {
+  /** Latest first. */
+  #pagedSnapshots: readonly PagedSnapshot[] = [];
 
   constructor(private readonly replica: Replica) {}
 
   /**
-   * The page that starts at resource `offset` of version `number`, or else the first page of a
-   * version above `after`, which the asking process holds.
+   * Returns the page that starts at resource `offset` of version `number`; if it is not kept, the
+   * first page of a version above `after`, the version that the requesting process holds.
    */
   page(number: number | undefined, offset: number, after: number): SnapshotPage {
-    const wanted = this.#cuts
-      .find((cut) => cut.number === number)
+    const wanted = this.#pagedSnapshots
+      .find((snapshot) => snapshot.number === number)
       ?.pages.find((page) => page.offset === offset);
-    return wanted ?? this.#pages(after)[0]!;
+    return wanted ?? this.#pagesAfter(after)[0]!;
   }
 
   /**
-   * Were pages made anew for each version, a process that pulls through a burst of versions would
-   * begin again with each. The old ones serve as long as the versions after them are kept, and only
-   * whoever is behind them: served to others they change nothing, and who asked stays behind for good.
+   * Returns the pages of the latest kept snapshot, or builds new ones. If each version got new
+   * pages, a process that pulls during a burst of versions would have to start over with each of
+   * them. Kept pages are reused while the replica still has the versions that follow them, and only
+   * for processes behind them: to any other process they bring nothing new, and it would stay
+   * behind forever.
    */
-  #pages(after: number): readonly SnapshotPage[] {
-    const [cut] = this.#cuts;
-    if (cut && cut.number > after && this.replica.since(cut.number)) return cut.pages;
+  #pagesAfter(after: number): readonly SnapshotPage[] {
+    const [latest] = this.#pagedSnapshots;
+    if (latest && latest.number > after && this.replica.since(latest.number)) return latest.pages;
     const snapshot = this.replica.snapshot();
-    const made = { number: snapshot.number, pages: cutUp(snapshot) };
-    this.#cuts = [made, ...this.#cuts].slice(0, MAX_CUTS);
-    return made.pages;
+    const paged = { number: snapshot.number, pages: paginate(snapshot) };
+    this.#pagedSnapshots = [paged, ...this.#pagedSnapshots].slice(0, MAX_PAGED_SNAPSHOTS);
+    return paged.pages;
   }
 }
 
-/** Bytes that a version takes, roughly: those of its JSON. */
-export function sizeOf(version: Version): number {
-  const known = sizes.get(version);
+/** Approximate size of a version, in bytes of its JSON. */
+export function versionBytes(version: Version): number {
+  const known = versionSizes.get(version);
   if (known !== undefined) return known;
   const size = JSON.stringify(version).length;
-  sizes.set(version, size);
+  versionSizes.set(version, size);
   return size;
 }
 
-const sizes = new WeakMap<Version, number>();
+const versionSizes = new WeakMap<Version, number>();
 
-function cutUp({ number, digest, parent, resources }: Snapshot): SnapshotPage[] {
+function paginate({ number, digest, parent, resources }: Snapshot): SnapshotPage[] {
   const pages: SnapshotPage[] = [];
   let offset = 0;
-  for (const batch of batches(resources)) {
+  for (const batch of splitBySize(resources)) {
     pages.push({ number, digest, parent, offset, total: resources.length, resources: batch });
     offset += batch.length;
   }
   return pages;
 }
 
-function batches(resources: readonly Resource[]): Resource[][] {
-  const found: Resource[][] = [[]];
+function splitBySize(resources: readonly Resource[]): Resource[][] {
+  const batches: Resource[][] = [[]];
   let bytes = 0;
   for (const resource of resources) {
     const size = JSON.stringify(resource).length;
-    if (bytes > 0 && bytes + size > PAGE_BYTES) {
-      found.push([]);
+    if (bytes > 0 && bytes + size > MAX_PAGE_BYTES) {
+      batches.push([]);
       bytes = 0;
     }
-    found.at(-1)!.push(resource);
+    batches.at(-1)!.push(resource);
     bytes += size;
   }
-  return found;
+  return batches;
 }
--- a/src/distribution/profile.ts
+++ b/src/distribution/profile.ts
@@ -1,30 +1,30 @@
-/** How soon versions travel, and how: set for a whole deployment. */
+/** How versions are propagated, and how soon; set for a whole deployment. */
 
 export abstract class Profile {
-  /** Whether versions are sent to the children unasked; they are pulled otherwise. */
+  /** Whether versions are pushed to the children; otherwise the children pull them. */
   abstract readonly pushes: boolean;
 
-  /** How long versions are gathered before the children hear of them, in milliseconds. */
-  abstract readonly gatherMs: number;
+  /** How long versions are batched before the children are told, in milliseconds. */
+  abstract readonly batchWindowMs: number;
 
   /** How long a process that is behind waits for a push before it pulls, in milliseconds. */
-  abstract readonly patienceMs: number;
+  abstract readonly pushWaitMs: number;
 }
 
-/** Convergence first: push at once, the whole change. */
+/** Favours fast convergence: pushes each version at once, with its whole change. */
 export class ConvergenceProfile extends Profile {
   readonly pushes = true;
 
-  readonly gatherMs = 0;
+  readonly batchWindowMs = 0;
 
-  readonly patienceMs = 100;
+  readonly pushWaitMs = 100;
 }
 
-/** Bytes first: gather several versions, say so, and let each child pull what it lacks. */
+/** Favours few bytes: batches versions, announces them, and lets each child pull what it lacks. */
 export class BytesProfile extends Profile {
   readonly pushes = false;
 
-  readonly gatherMs = 300;
+  readonly batchWindowMs = 300;
 
-  readonly patienceMs = 100;
+  readonly pushWaitMs = 100;
 }
--- a/src/distribution/puller.ts
+++ b/src/distribution/puller.ts
@@ -1,4 +1,4 @@
-/** Pulls what this process lacks from peers that are ahead. */
+/** Pulls the versions that this process lacks from peers that are ahead. */
 import { type Pull, type Pulled, type Snapshot, type SnapshotPage } from '../contracts.js';
 import { type Peer } from '../link/peer.js';
 import { type Roster } from '../membership/roster.js';
@@ -10,33 +10,36 @@
 import { type Replica } from './replica.js';
 
 const PULL_TIMEOUT_MS = 2_000;
-/** Without an answer for this long, another peer is asked beside, in milliseconds. */
+/** Time without an answer after which another peer is asked as well, in milliseconds. */
 const HEDGE_MS = 300;
-/** Cap of the wait after a peer's first failure, in milliseconds; it doubles with each. */
-const FIRST_WAIT_MS = 500;
-const MAX_WAIT_MS = 15_000;
 /**
- * Least wait before a peer whose version was refused is asked again, in milliseconds. It would
- * serve the same version again: without a wait, both would do nothing else.
+ * Cap of the jittered backoff after a peer's first failure, in milliseconds; it doubles with each
+ * further failure.
  */
-const REFUSED_WAIT_MS = 10_000;
+const INITIAL_BACKOFF_MS = 500;
+const MAX_BACKOFF_MS = 15_000;
+/**
+ * Minimum backoff for a peer whose version was refused, in milliseconds. The peer would serve the
+ * same version again, so without a wait both would do nothing but repeat it.
+ */
+const REFUSED_BACKOFF_MS = 10_000;
 
-/** How a peer has done so far. */
-interface Standing {
+/** Pull failures and backoff of a peer. */
+interface PeerState {
   failures: number;
-  /** Instant before which it is not asked. */
+  /** Earliest instant at which the peer is asked again. */
   retryAt: number;
 }
 
-/** One task while the process is behind; one pull at a time from each peer. */
+/** Runs one task while the process is behind, with at most one pull in flight per peer. */
 export class Puller {
   #isRunning = false;
 
-  #stirred = new AbortController();
+  #wakeUp = new AbortController();
 
-  readonly #flights = new Map<Peer, Promise<void>>();
+  readonly #pullsInFlight = new Map<Peer, Promise<void>>();
 
-  readonly #standings = new WeakMap<Peer, Standing>();
+  readonly #peerStates = new WeakMap<Peer, PeerState>();
 
   constructor(
     private readonly replica: Replica,
@@ -47,99 +50,103 @@
     private readonly random: Random,
   ) {}
 
-  /** Looks for peers that are ahead; called whenever one may have got there. */
+  /** Starts pulling if any peer is ahead; call it whenever a peer may have got ahead. */
   wake(): void {
-    this.#stirred.abort();
-    if (!this.#isRunning && this.#ahead().length > 0) void this.#run();
+    this.#wakeUp.abort();
+    if (!this.#isRunning && this.#peersAhead().length > 0) void this.#run();
   }
 
   async #run(): Promise<void> {
     this.#isRunning = true;
-    const { patienceMs } = this.profile;
-    await this.clock.sleepUntil(this.clock.now() + patienceMs + this.random.jitter(patienceMs));
-    while (this.#ahead().length > 0) await this.#step();
+    const { pushWaitMs } = this.profile;
+    await this.clock.sleepUntil(this.clock.now() + pushWaitMs + this.random.jitter(pushWaitMs));
+    while (this.#peersAhead().length > 0) await this.#step();
     this.#isRunning = false;
   }
 
-  /** Asks one more peer, or waits until one may be asked. */
+  /** Pulls from one more peer, or waits until a peer may be asked. */
   async #step(): Promise<void> {
     const now = this.clock.now();
-    const free = this.#ahead().filter((peer) => !this.#flights.has(peer));
-    const ready = free.filter((peer) => this.#standing(peer).retryAt <= now);
+    const idle = this.#peersAhead().filter((peer) => !this.#pullsInFlight.has(peer));
+    const ready = idle.filter((peer) => this.#stateOf(peer).retryAt <= now);
     const peer = this.#choose(ready);
-    if (peer) this.#start(peer);
-    const retries = free.map((other) => this.#standing(other).retryAt);
+    if (peer) this.#startPull(peer);
+    const retries = idle.map((other) => this.#stateOf(other).retryAt);
     const until = peer ? now + HEDGE_MS : Math.min(...retries, now + PULL_TIMEOUT_MS);
-    this.#stirred = new AbortController();
-    const pause = this.clock.sleepUntil(until, peer ? undefined : this.#stirred.signal);
-    await Promise.race([pause, ...this.#flights.values()]);
+    this.#wakeUp = new AbortController();
+    const timer = this.clock.sleepUntil(until, peer ? undefined : this.#wakeUp.signal);
+    await Promise.race([timer, ...this.#pullsInFlight.values()]);
   }
 
-  #ahead(): Peer[] {
+  #peersAhead(): Peer[] {
     const held = this.replica.current.number;
     return this.mesh.peers.filter((peer) => peer.version > held && !peer.link.closed.aborted);
   }
 
-  /** Any of the own data centre, so that a herd spreads over all that can serve it. */
+  /**
+   * Picks a random peer, preferably of the own data centre, so that pulls of many processes are
+   * spread evenly.
+   */
   #choose(peers: readonly Peer[]): Peer | undefined {
     const { dataCentre } = this.roster.self;
-    const near = peers.filter((peer) => peer.member?.dataCentre === dataCentre);
-    const choice = near.length > 0 ? near : peers;
-    return choice[this.random.below(choice.length)];
+    const local = peers.filter((peer) => peer.member?.dataCentre === dataCentre);
+    const candidates = local.length > 0 ? local : peers;
+    return candidates[this.random.below(candidates.length)];
   }
 
-  #start(peer: Peer): void {
-    const flight = this.#pull(peer).finally(() => this.#flights.delete(peer));
-    this.#flights.set(peer, flight);
+  #startPull(peer: Peer): void {
+    const pull = this.#pull(peer).finally(() => this.#pullsInFlight.delete(peer));
+    this.#pullsInFlight.set(peer, pull);
   }
 
   async #pull(peer: Peer): Promise<void> {
-    const standing = this.#standing(peer);
+    const state = this.#stateOf(peer);
     const before = this.replica.current;
     try {
-      const answer = await this.#request(peer, this.#pullOf(standing));
+      const answer = await this.#request(peer, this.#pullRequest(state));
       if (answer.busyMs !== undefined) {
-        standing.retryAt = this.#back(answer.busyMs);
+        state.retryAt = this.#busyRetryTime(answer.busyMs);
         return;
       }
-      // It was worked out against what is not in force any more.
+      // The difference was computed against a configuration that is not current any more.
       if (answer.difference && this.replica.current !== before) return;
-      const isWhole = await this.#take(peer, answer);
-      if (this.replica.current.number > before.number) standing.failures = 0;
-      else this.#postpone(standing, isWhole ? 0 : REFUSED_WAIT_MS);
+      const isApplied = await this.#applyAnswer(peer, answer);
+      if (this.replica.current.number > before.number) state.failures = 0;
+      else this.#backOff(state, isApplied ? 0 : REFUSED_BACKOFF_MS);
     } catch {
-      this.#postpone(standing, 0);
+      this.#backOff(state, 0);
     }
   }
 
   /**
-   * With a summary of what is held, if it holds anything. A peer that has failed is asked without: it
-   * may be of a release that knows none, or the difference that it told may not add up.
+   * Builds the request. It includes a summary of the current configuration, if there is one. A peer
+   * that has failed is asked without it: its release may not know summaries, or the difference that
+   * it sent may not match its digest.
    */
-  #pullOf({ failures }: Standing): Pull {
+  #pullRequest({ failures }: PeerState): Pull {
     const { number: after, summary } = this.replica.current;
     return after > 0 && failures === 0 ? { after, summary: [...summary] } : { after };
   }
 
-  async #take(peer: Peer, { versions, difference, page }: Pulled): Promise<boolean> {
-    if (difference) return this.replica.settle(difference, this.clock.now());
-    if (page) return this.replica.install(await this.#collect(peer, page));
+  async #applyAnswer(peer: Peer, { versions, difference, page }: Pulled): Promise<boolean> {
+    if (difference) return this.replica.applyDifference(difference, this.clock.now());
+    if (page) return this.replica.install(await this.#collectPages(peer, page));
     return this.replica.apply(versions, 'pull');
   }
 
-  /** Asks for the pages that follow the first; rejects if they do not make one snapshot. */
-  async #collect(peer: Peer, first: SnapshotPage): Promise<Snapshot> {
+  /** Requests the pages after the first; rejects if they are not all of the same snapshot. */
+  async #collectPages(peer: Peer, first: SnapshotPage): Promise<Snapshot> {
     const { number, digest, parent, total } = first;
     const resources = [...first.resources];
     while (resources.length < total) {
       const offset = resources.length;
       const { page, busyMs } = await this.#request(peer, { after: 0, page: { number, offset } });
       if (busyMs !== undefined) {
-        await this.clock.sleepUntil(this.#back(busyMs), peer.link.closed);
+        await this.clock.sleepUntil(this.#busyRetryTime(busyMs), peer.link.closed);
         continue;
       }
       if (page?.number !== number || page.offset !== offset || page.resources.length === 0) {
-        throw new Error('pages of another version');
+        throw new Error(`unexpected page while collecting version ${number} at offset ${offset}`);
       }
       resources.push(...page.resources);
     }
@@ -150,22 +157,25 @@
     return peer.request(PULL, pull, this.clock.now() + PULL_TIMEOUT_MS);
   }
 
-  /** When to come back to a peer that is busy: spread, so that a herd does not return as one. */
-  #back(busyMs: number): number {
+  /**
+   * When to ask a busy peer again; jittered, so that processes that were told so together do not
+   * return together.
+   */
+  #busyRetryTime(busyMs: number): number {
     return this.clock.now() + busyMs + this.random.jitter(busyMs);
   }
 
-  #postpone(standing: Standing, leastMs: number): void {
-    const cap = Math.min(MAX_WAIT_MS, FIRST_WAIT_MS * 2 ** standing.failures);
-    standing.failures += 1;
-    standing.retryAt = this.clock.now() + leastMs + this.random.jitter(cap);
+  #backOff(state: PeerState, minWaitMs: number): void {
+    const cap = Math.min(MAX_BACKOFF_MS, INITIAL_BACKOFF_MS * 2 ** state.failures);
+    state.failures += 1;
+    state.retryAt = this.clock.now() + minWaitMs + this.random.jitter(cap);
   }
 
-  #standing(peer: Peer): Standing {
-    const known = this.#standings.get(peer);
+  #stateOf(peer: Peer): PeerState {
+    const known = this.#peerStates.get(peer);
     if (known) return known;
-    const standing = { failures: 0, retryAt: 0 };
-    this.#standings.set(peer, standing);
-    return standing;
+    const state = { failures: 0, retryAt: 0 };
+    this.#peerStates.set(peer, state);
+    return state;
   }
 }
--- a/src/distribution/reader.ts
+++ b/src/distribution/reader.ts
@@ -1,4 +1,4 @@
-/** Follows the source of versions, in those processes that rank as readers. */
+/** Follows the source of versions, in processes that rank as readers. */
 import { OutcomeError } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
@@ -9,20 +9,25 @@
 
 /** Cap of the jittered wait after a failed call, in milliseconds. */
 const RETRY_CAP_MS = 1_000;
-/** Cap of the wait after the platform served a version that was refused, in milliseconds. */
-const REFUSED_CAP_MS = 30_000;
-/** How often a process looks whether it has become a reader. */
+/**
+ * Cap of the jittered backoff after the platform served a version that was refused, in
+ * milliseconds.
+ */
+const REFUSED_BACKOFF_CAP_MS = 30_000;
+/** How often a process checks whether it has become a reader, in milliseconds. */
 const RANK_CHECK_MS = 500;
 
 /**
- * Two processes may both believe that they are the reader: that costs one more watch and nothing
- * else, because versions are immutable and only go forward. So no lease is taken for it.
+ * Reads versions without a lease: two processes may both believe that they are the reader, which
+ * only costs one more watch, because versions are immutable and a replica only moves forward.
  */
 export class Reader {
-  /** Whether the source was read at least once to its end, or to a version that was refused. */
+  /**
+   * Whether the source was read at least once up to its head, or up to a version that was refused.
+   */
   caughtUp = false;
 
-  /** Refusals since the last step forward. */
+  /** Refusals since versions were last applied in full. */
   #refusals = 0;
 
   constructor(
@@ -45,14 +50,14 @@
       try {
         await this.#follow(signal);
       } catch (error) {
-        await this.#recover(error, signal);
+        await this.#handleError(error, signal);
       }
     }
   }
 
   /**
-   * Reads the source to its end, begun after this call; resolves to the version then in force.
-   * What follows it, if anything does, was refused here and so by every process.
+   * Reads the source up to its head, starting after this call; resolves to the version then
+   * current. If later versions exist, they were refused here, and so are refused by every process.
    */
   async confirm(deadline: number): Promise<number> {
     await this.feed.catchUp(deadline);
@@ -61,31 +66,31 @@
 
   async #follow(signal: AbortSignal): Promise<void> {
     const deadline = this.clock.now() + this.pace.watchMs;
-    const isWhole = this.caughtUp
+    const isApplied = this.caughtUp
       ? await this.feed.follow(deadline, signal)
       : await this.feed.catchUp(deadline);
     this.caughtUp = true;
-    if (isWhole) this.#refusals = 0;
-    else await this.#holdOff(signal);
+    if (isApplied) this.#refusals = 0;
+    else await this.#backOff(signal);
   }
 
-  async #recover(error: unknown, signal: AbortSignal): Promise<void> {
+  async #handleError(error: unknown, signal: AbortSignal): Promise<void> {
     if (error instanceof OutcomeError) {
       const wait = this.random.jitter(RETRY_CAP_MS);
       await this.clock.sleepUntil(this.clock.now() + wait, signal);
       return;
     }
-    this.replica.reject(this.replica.current.number + 1, 'unreadable');
-    await this.#holdOff(signal);
+    this.replica.recordRefusal(this.replica.current.number + 1, 'unreadable');
+    await this.#backOff(signal);
   }
 
   /**
-   * A refused version is still there the next time: without a wait, which grows, the reader would
-   * do nothing but read and refuse it, and spend the platform's calls on that.
+   * A refused version is still there on the next read. Without an increasing wait, the reader would
+   * do nothing but read and refuse it, and use up calls to the platform.
    */
-  async #holdOff(signal: AbortSignal): Promise<void> {
+  async #backOff(signal: AbortSignal): Promise<void> {
     this.#refusals += 1;
-    const cap = Math.min(REFUSED_CAP_MS, RETRY_CAP_MS * 2 ** this.#refusals);
+    const cap = Math.min(REFUSED_BACKOFF_CAP_MS, RETRY_CAP_MS * 2 ** this.#refusals);
     const wait = RETRY_CAP_MS + this.random.jitter(cap);
     await this.clock.sleepUntil(this.clock.now() + wait, signal);
   }
--- a/src/distribution/readiness.ts
+++ b/src/distribution/readiness.ts
@@ -1,4 +1,4 @@
-/** When a process that has started may take requests. */
+/** Decides when a starting process may take requests. */
 import { type Member } from '../contracts.js';
 import { type Pace, STEADY } from '../membership/pace.js';
 import { type Ranking } from '../membership/ranking.js';
@@ -14,10 +14,11 @@
 const CONFIRM_TIMEOUT_MS = 3_000;
 
 /**
- * A process that starts holds nothing and takes over what its neighbours hold. Had they missed
- * what its instance held before, requests would go by an older version than they did. So it takes
- * none until it holds at least what its instance can have held: the end of the log, or what the
- * neighbours remember of it. Once ready it stays so, because versions only rise.
+ * A starting process holds nothing and takes over the version of its neighbours. If they missed a
+ * version that its instance held before, requests would be routed by an older version than they
+ * already were. Therefore the process takes no requests until it holds at least the highest version
+ * that its instance can have held: the head of the log, or the version that its neighbours remember
+ * for the instance. Once ready, it stays ready, because versions only increase.
  */
 export class Readiness {
   #isReady = false;
@@ -25,7 +26,7 @@
   readonly #listeners = new Set<() => void>();
 
   constructor(
-    /** This process as it started. */
+    /** This process's member entry at its start. */
     private readonly self: Member,
     private readonly replica: Replica,
     private readonly reader: Reader,
@@ -47,10 +48,10 @@
 
   /** Runs until the process is ready or the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    let floor: number | undefined;
+    let minVersion: number | undefined;
     while (!signal.aborted) {
-      floor ??= await this.#floor();
-      if (floor !== undefined && this.replica.current.number >= floor) break;
+      minVersion ??= await this.#findMinVersion();
+      if (minVersion !== undefined && this.replica.current.number >= minVersion) break;
       const wait = this.random.jitter(this.pace.readinessMs);
       await this.clock.sleepUntil(this.clock.now() + wait, signal);
     }
@@ -59,10 +60,10 @@
     for (const listener of this.#listeners) listener();
   }
 
-  /** The version that this instance cannot have been beyond; undefined as long as unknown. */
-  async #floor(): Promise<number | undefined> {
+  /** Finds a version that this instance cannot have been beyond; undefined while unknown. */
+  async #findMinVersion(): Promise<number | undefined> {
     if (this.reader.caughtUp) return 0;
-    if (this.pace.isEager) return this.#isVouchedFor ? 0 : undefined;
+    if (this.pace.isEager) return this.#isConfirmedByNeighbour ? 0 : undefined;
     const remembered = await this.#recall();
     if (remembered !== undefined) return remembered;
     try {
@@ -73,17 +74,19 @@
   }
 
   /**
-   * Whether a neighbour that takes requests holds no more than this process. With the source away
-   * a process that starts would otherwise take none until it is back.
+   * Whether a ready neighbour holds no later version than this process. Without this check, a
+   * process that starts while the source is unavailable would take no requests until the source is
+   * back.
    */
-  get #isVouchedFor(): boolean {
+  get #isConfirmedByNeighbour(): boolean {
     const held = this.replica.current.number;
     return held > 0 && this.mesh.peers.some((peer) => peer.isReady && peer.version <= held);
   }
 
   /**
-   * What all neighbours remember together. One that does not answer may be the one that knows
-   * most, so its silence leaves the question open until it answers or its link is closed.
+   * Asks all neighbours which version they remember for this instance. A neighbour that does not
+   * answer may know the highest one, so the result is undefined until it answers or its link is
+   * closed.
    */
   async #recall(): Promise<number | undefined> {
     if (this.ranking.isReader) return undefined;
--- a/src/distribution/relay.ts
+++ b/src/distribution/relay.ts
@@ -1,41 +1,48 @@
-/** Answers the pulls of others, so many at a time. */
+/** Answers pulls from other processes, a limited number at a time. */
 import PQueue from 'p-queue';
-import { differing } from '../configuration/summary.js';
+import { differingBuckets } from '../configuration/summary.js';
 import { type Difference, type Pull, type Pulled, type Version } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
-import { CHANGE_BYTES, PAGE_BYTES, Pages, sizeOf } from './pages.js';
+import { MAX_CHANGE_BYTES, MAX_PAGE_BYTES, SnapshotPager, versionBytes } from './pages.js';
 import { type Replica } from './replica.js';
 
 const CONCURRENCY = 4;
-/** How long each answer keeps its place, in milliseconds: 400 answers a second at most. */
-const HOLD_MS = 10;
-/** Pulls that may wait; they wait 160 ms at most, less than their senders do. */
+/**
+ * Minimum time that each answer occupies its slot, in milliseconds; allows at most 400 answers per
+ * second.
+ */
+const MIN_SLOT_MS = 10;
+/**
+ * Maximum number of waiting pulls; they wait at most 160 ms, less than the timeout of their
+ * senders.
+ */
 const MAX_WAITING = 64;
-/** When a pull that was turned away may come again, in milliseconds; jitter is added there. */
-const BUSY_MS = 250;
+/** How long a rejected peer is told to wait, in milliseconds; the peer adds jitter. */
+const BUSY_RETRY_MS = 250;
 
 /**
- * When a herd reconnects, hundreds of processes pull from few. Were all answered at once, the
- * relay's links would fill with pages and its heartbeats would stand behind them: it would look
- * silent and lose its links, which starts the next herd. Those beyond the bound are told when to
- * come back, and go to another peer meanwhile.
+ * Bounds the rate of answered pulls. When many processes reconnect at once, hundreds of them pull
+ * from few. If all were answered at once, the links would be filled with pages and heartbeats would
+ * queue behind them: this process would look silent and lose its links, which causes the next wave
+ * of reconnects. Pulls beyond the limit are told when to retry, and their senders ask another peer
+ * in the meantime.
  */
-export class Relay {
+export class PullResponder {
   readonly #queue = new PQueue({ concurrency: CONCURRENCY });
 
-  readonly #pages: Pages;
+  readonly #pager: SnapshotPager;
 
   constructor(
     private readonly replica: Replica,
     private readonly clock: Clock,
   ) {
-    this.#pages = new Pages(replica);
+    this.#pager = new SnapshotPager(replica);
   }
 
   answer(pull: Pull): Promise<Pulled> {
     return new Promise((resolve) => {
       if (this.#queue.size >= MAX_WAITING) {
-        resolve({ versions: [], busyMs: BUSY_MS });
+        resolve({ versions: [], busyMs: BUSY_RETRY_MS });
         return;
       }
       void this.#queue.add(() => this.#serve(pull, resolve));
@@ -44,26 +51,27 @@
 
   async #serve(pull: Pull, resolve: (answer: Pulled) => void): Promise<void> {
     resolve(this.#answer(pull));
-    await this.clock.sleepUntil(this.clock.now() + HOLD_MS);
+    await this.clock.sleepUntil(this.clock.now() + MIN_SLOT_MS);
   }
 
   #answer({ after, page, summary }: Pull): Pulled {
     const versions = page ? undefined : this.replica.since(after);
-    const fitting = versions && fit(versions);
+    const fitting = versions && fitInAnswer(versions);
     if (fitting) return { versions: [...fitting] };
-    const difference = summary && this.#difference(summary);
+    const difference = summary && this.#differenceTo(summary);
     if (difference) return { versions: [], difference };
-    return { versions: [], page: this.#pages.page(page?.number, page?.offset ?? 0, after) };
+    return { versions: [], page: this.#pager.page(page?.number, page?.offset ?? 0, after) };
   }
 
   /**
-   * A source that holds only the newest version lets its readers skip others, so a process may hold
-   * one that none of its peers held. Content is compared instead; undefined if pages are better.
+   * Returns where the configurations differ, or undefined if sending pages is better. A source that
+   * only holds the newest version lets its readers skip versions, so a process may hold a version
+   * that none of its peers ever held. Hence content is compared instead of versions.
    */
-  #difference(summary: readonly number[]): Difference | undefined {
+  #differenceTo(summary: readonly number[]): Difference | undefined {
     const { current } = this.replica;
-    const buckets = differing(summary, current.summary);
-    if (current.bytesWithin(buckets) > CHANGE_BYTES) return undefined;
+    const buckets = differingBuckets(summary, current.summary);
+    if (current.bytesWithin(buckets) > MAX_CHANGE_BYTES) return undefined;
     const resources = current.within(buckets);
     const { number, digest } = current;
     const { parent } = this.replica;
@@ -71,15 +79,15 @@
   }
 }
 
-/** As many versions as go into one answer; undefined if not even the first does. */
-function fit(versions: readonly Version[]): readonly Version[] | undefined {
+/** Returns as many versions as fit into one answer; undefined if not even the first one fits. */
+function fitInAnswer(versions: readonly Version[]): readonly Version[] | undefined {
   const [first] = versions;
   if (!first) return versions;
-  if (sizeOf(first) > CHANGE_BYTES) return undefined;
+  if (versionBytes(first) > MAX_CHANGE_BYTES) return undefined;
   let bytes = 0;
   const end = versions.findIndex((version) => {
-    bytes += sizeOf(version);
-    return bytes > PAGE_BYTES;
+    bytes += versionBytes(version);
+    return bytes > MAX_PAGE_BYTES;
   });
   return end < 0 ? versions : versions.slice(0, Math.max(1, end));
 }
--- a/src/distribution/remembered.ts
+++ b/src/distribution/remembered.ts
@@ -1,58 +1,59 @@
-/** The version last heard from each instance, whatever became of the process since. */
+/** The version last heard from each instance, kept beyond the end of its process. */
 import { type Member } from '../contracts.js';
 import { setLatest } from '../runtime/latest.js';
 
 interface Entry {
-  /** Incarnation that was heard last. */
+  /** Latest incarnation heard from. */
   readonly incarnation: number;
   /** Highest version heard from that incarnation. */
   readonly version: number;
-  /** Whether its instance cannot have held more when it was heard last. */
-  readonly isSure: boolean;
-  /** Highest version of the incarnations before; undefined if that is not known for sure. */
+  /** Whether `version` is certain to be the highest that the instance has held so far. */
+  readonly isUpperBound: boolean;
+  /** Highest version of earlier incarnations; undefined if not known for certain. */
   readonly earlier: number | undefined;
 }
 
-/** Instances remembered at most; at the design size every instance several times over. */
+/** Maximum number of instances kept: several times the number of instances at the design size. */
 const MAX_ENTRIES = 4_096;
 
-export class Remembered {
+export class InstanceVersions {
   readonly #entries = new Map<string, Entry>();
 
   /**
-   * Notes that a member holds a version. `isSure` says that its instance has not held more: that
-   * is so once the process is ready, unless it reads versions from the platform, which it may have
-   * put in force before any neighbour heard of them.
+   * Records that a member holds a version. `isUpperBound` states that its instance has never held a
+   * later one. That is so once the process is ready, unless it reads versions from the platform:
+   * then it may have applied versions that no neighbour has heard of.
    */
-  note({ instance, incarnation }: Member, version: number, isSure: boolean): void {
-    const entry = succeed(this.#entries.get(instance), incarnation, version, isSure);
+  record({ instance, incarnation }: Member, version: number, isUpperBound: boolean): void {
+    const entry = updatedEntry(this.#entries.get(instance), incarnation, version, isUpperBound);
     setLatest(this.#entries, instance, entry, MAX_ENTRIES);
   }
 
   /**
-   * Highest version heard from the instance before the process that started as `incarnation`;
-   * undefined if it is not known for sure. What that process says of itself does not count: a
-   * neighbour that restarted with it would otherwise vouch for it with its own words.
+   * Returns the highest version heard from the instance before the process that started as
+   * `incarnation`; undefined if not known for certain. What that process itself reports does not
+   * count: otherwise, a neighbour that restarted at the same time would confirm the process's own
+   * report back to it.
    */
-  before(instance: string, incarnation: number): number | undefined {
+  versionBefore(instance: string, incarnation: number): number | undefined {
     const entry = this.#entries.get(instance);
-    // A higher incarnation is that of an earlier process if the instance's clock jumped back.
+    // A higher incarnation belongs to an earlier process if the instance's clock went back.
     if (!entry || entry.incarnation > incarnation) return undefined;
     if (entry.incarnation === incarnation) return entry.earlier;
-    return entry.isSure ? entry.version : undefined;
+    return entry.isUpperBound ? entry.version : undefined;
   }
 }
 
-function succeed(
+function updatedEntry(
   entry: Entry | undefined,
   incarnation: number,
   version: number,
-  isSure: boolean,
+  isUpperBound: boolean,
 ): Entry {
-  if (!entry) return { incarnation, version, isSure, earlier: undefined };
+  if (!entry) return { incarnation, version, isUpperBound, earlier: undefined };
   if (incarnation > entry.incarnation) {
-    const earlier = entry.isSure ? entry.version : undefined;
-    return { incarnation, version, isSure, earlier };
+    const earlier = entry.isUpperBound ? entry.version : undefined;
+    return { incarnation, version, isUpperBound, earlier };
   }
-  return { ...entry, version: Math.max(entry.version, version), isSure };
+  return { ...entry, version: Math.max(entry.version, version), isUpperBound };
 }
--- a/src/distribution/replica.ts
+++ b/src/distribution/replica.ts
@@ -1,4 +1,4 @@
-/** The configuration in force at one process. */
+/** The current configuration of a process. */
 import { Configuration } from '../configuration/configuration.js';
 import { GENESIS } from '../configuration/digest.js';
 import {
@@ -10,30 +10,30 @@
 import { type Difference, type Resource, type Snapshot, type Version } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 
-/** Why a version was refused; the configuration before it stays in force. */
+/** Why a version was refused; the configuration before it stays current. */
 export interface Refusal {
   readonly number: number;
   /**
-   * - `unreadable`: not what a version looks like.
-   * - `chain`: another version of the same number is in force.
-   * - `parent`: it follows another version than the one in force.
-   * - `digest`: its content is not what its digest was worked out over.
-   * - `too-large`: it holds more than proxies are sized for.
-   * - `invalid`: it breaks references or rules.
+   * - `unreadable`: it does not parse as a version.
+   * - `chain`: another version with the same number is current.
+   * - `parent`: its parent is not the current version.
+   * - `digest`: its content does not match its digest.
+   * - `too-large`: it has more resources than proxies are sized for.
+   * - `invalid`: it has dangling references or breaks rules.
    */
   readonly reason: 'unreadable' | 'chain' | 'parent' | 'digest' | 'too-large' | 'invalid';
   readonly problems: readonly Problem[];
 }
 
-/** How a version came to a process: from the source, or from a peer in one of four ways. */
+/** How a version reached this process: from the source, or from a peer in one of four ways. */
 export type Origin = 'source' | 'push' | 'pull' | 'difference' | 'pages';
 
-/** Versions kept so that neighbours which are a little behind need no snapshot. */
-const RECENT = 256;
+/** Number of recent versions kept, so that neighbours slightly behind need no snapshot. */
+const MAX_RECENT_VERSIONS = 256;
 
 /**
- * Holds the configuration in force and moves it forward only. A candidate is built aside and
- * checked whole; one assignment puts it in force, so no request ever sees half of a version.
+ * Holds the current configuration, and only moves forward. A candidate is built and checked
+ * separately, and made current by a single assignment, so that no request sees part of a version.
  */
 export class Replica {
   #current = Configuration.empty;
@@ -43,8 +43,8 @@
 
   #recent: Version[] = [];
 
-  /** Number of the version that the first recent one was made to. */
-  #recentAfter = 0;
+  /** Number of the version that the first of `#recent` follows. */
+  #recentBase = 0;
 
   #refusal: Refusal | undefined;
 
@@ -52,13 +52,13 @@
 
   readonly #listeners = new Set<(versions: readonly Version[]) => void>();
 
-  /** Called with each refusal that is not the one before again. */
+  /** Called with each refusal, unless it repeats the previous one. */
   onRefused: (refusal: Refusal) => void = () => {};
 
-  /** Called when a peer serves what is no newer than what is held. */
+  /** Called when a peer serves a version that is no later than the current one. */
   onServedOlder: (served: number) => void = () => {};
 
-  /** How the configuration in force came here. */
+  /** How the current version reached this process. */
   get origin(): Origin {
     return this.#origin;
   }
@@ -67,50 +67,53 @@
     return this.#current;
   }
 
-  /** The last refused version, until a later one is in force. */
+  /** The last refused version, until a version is applied. */
   get refusal(): Refusal | undefined {
     return this.#refusal;
   }
 
-  /** Resolves once a version above `number` is in force, at `deadline`, or when `signal` aborts. */
+  /** Resolves once a version above `number` is current, at `deadline`, or when `signal` aborts. */
   async above(number: number, deadline: number, clock: Clock, signal: AbortSignal): Promise<void> {
     if (this.#current.number > number) return;
     const reached = new AbortController();
-    const look = () => {
+    const check = () => {
       if (this.#current.number > number) reached.abort();
     };
-    this.#listeners.add(look);
+    this.#listeners.add(check);
     await clock.sleepUntil(deadline, AbortSignal.any([signal, reached.signal]));
-    this.#listeners.delete(look);
+    this.#listeners.delete(check);
   }
 
-  /** Calls `listener` after each step forward with the versions newly in force. */
+  /**
+   * Calls `listener` after each update with the versions newly applied; with none after an
+   * installed snapshot.
+   */
   onApplied(listener: (versions: readonly Version[]) => void): void {
     this.#listeners.add(listener);
   }
 
-  /** Puts those versions in force that follow without a gap; false if there is a gap or a refusal. */
+  /** Applies the versions that follow without a gap; false if there is a gap or a refusal. */
   apply(versions: readonly Version[], origin: Origin = 'source'): boolean {
     const applied: Version[] = [];
-    let whole = true;
+    let isApplied = true;
     for (const version of versions) {
       if (version.number < this.#current.number) continue;
       if (version.number === this.#current.number) {
         if (version.digest === this.#current.digest) continue;
-        whole = this.#refuse(version.number, 'chain', []);
+        isApplied = this.#refuse(version.number, 'chain', []);
         break;
       }
-      whole = this.#follows(version) && this.#applyOne(version);
-      if (!whole) break;
+      isApplied = this.#isNext(version) && this.#applyOne(version);
+      if (!isApplied) break;
       applied.push(version);
     }
-    if (applied.length === 0) return whole;
+    if (applied.length === 0) return isApplied;
     this.#origin = origin;
-    this.#announce(applied);
-    return whole;
+    this.#notifyApplied(applied);
+    return isApplied;
   }
 
-  /** Puts a whole configuration in force if it is newer than the one held. */
+  /** Replaces the configuration by a snapshot if that is newer; false if it was refused. */
   install(snapshot: Snapshot, origin: Origin = 'pages'): boolean {
     if (snapshot.number <= this.#current.number) {
       this.onServedOlder(snapshot.number);
@@ -126,43 +129,47 @@
     this.#current = candidate;
     this.#parent = snapshot.parent;
     this.#recent = [];
-    this.#recentAfter = snapshot.number;
+    this.#recentBase = snapshot.number;
     this.#refusal = undefined;
     this.#origin = origin;
-    this.#announce([]);
+    this.#notifyApplied([]);
     return true;
   }
 
   /**
-   * Puts in force what a peer holds, by where it differs from what is held here. One that stands
-   * alone becomes a version of its own, so that those who follow this process get just the change.
+   * Applies a peer's version, given the buckets in which it differs from the current configuration.
+   * A version that stands alone is applied as a version of its own, so that processes that follow
+   * this one receive only the change.
    */
-  settle({ number, digest, parent, buckets, resources }: Difference, acceptedAt: number): boolean {
+  applyDifference(
+    { number, digest, parent, buckets, resources }: Difference,
+    acceptedAt: number,
+  ): boolean {
     if (number <= this.#current.number) {
       this.onServedOlder(number);
       return true;
     }
     const change = this.#current.changeWithin(buckets, resources);
     if (parent !== GENESIS) {
-      const whole = this.#current.standalone(change, number).resources();
-      return this.install({ number, digest, parent, resources: whole }, 'difference');
+      const merged = this.#current.standalone(change, number).resources();
+      return this.install({ number, digest, parent, resources: merged }, 'difference');
     }
     const held = this.#current.digest;
     const version = { number, parent: held, digest, note: '', acceptedAt, change } as const;
     return this.apply([{ ...version, standsAlone: true }], 'difference');
   }
 
-  /** Notes that a version cannot be put in force, so that operators see why it is not. */
-  reject(number: number, reason: Refusal['reason']): void {
+  /** Records that a version cannot be applied, so that operators see why. */
+  recordRefusal(number: number, reason: Refusal['reason']): void {
     this.#refuse(number, reason, []);
   }
 
-  /** Digest over which that of the configuration in force was worked out. */
+  /** Digest of the parent, from which the digest of the current configuration was computed. */
   get parent(): string {
     return this.#parent;
   }
 
-  /** The whole configuration in force. */
+  /** Snapshot of the current configuration. */
   snapshot(): Snapshot {
     const { number, digest } = this.#current;
     return { number, digest, parent: this.#parent, resources: this.#current.resources() };
@@ -171,14 +178,14 @@
   /** Versions after `number`, or undefined if they are not kept any more. */
   since(number: number): readonly Version[] | undefined {
     if (number >= this.#current.number) return [];
-    if (number === this.#recentAfter) return this.#recent;
+    if (number === this.#recentBase) return this.#recent;
     const index = this.#recent.findIndex((version) => version.number === number);
     return index < 0 ? undefined : this.#recent.slice(index + 1);
   }
 
   /**
-   * Puts exactly `resources` in force as version `number`, from a source that holds nothing but
-   * the newest version. False if that is not newer, or was refused.
+   * Makes exactly `resources` the current configuration as version `number`, from a source that
+   * only holds the newest version. False if that is not newer, or was refused.
    */
   replace(number: number, resources: readonly Resource[], acceptedAt: number): boolean {
     if (number <= this.#current.number) return false;
@@ -189,8 +196,11 @@
     return this.apply([{ ...version, standsAlone: true }]);
   }
 
-  /** A gap is no refusal: what lies between is pulled. */
-  #follows({ number, parent, standsAlone }: Version): boolean {
+  /**
+   * Whether the version directly follows the current one. A gap is no refusal: the versions between
+   * are pulled.
+   */
+  #isNext({ number, parent, standsAlone }: Version): boolean {
     return standsAlone ? parent === this.#current.digest : number === this.#current.number + 1;
   }
 
@@ -209,7 +219,7 @@
     this.#current = candidate;
     this.#refusal = undefined;
     this.#recent.push(version);
-    if (this.#recent.length > RECENT) this.#recentAfter = this.#recent.shift()!.number;
+    if (this.#recent.length > MAX_RECENT_VERSIONS) this.#recentBase = this.#recent.shift()!.number;
     return true;
   }
 
@@ -220,7 +230,7 @@
     return false;
   }
 
-  #announce(versions: readonly Version[]): void {
+  #notifyApplied(versions: readonly Version[]): void {
     for (const listener of this.#listeners) listener(versions);
   }
 }
--- a/src/distribution/surveyor.ts
+++ b/src/distribution/surveyor.ts
@@ -1,4 +1,4 @@
-/** Asks the whole fleet where versions stand, through the tree and at no cost to the platform. */
+/** Surveys which versions the fleet holds, through the tree and without calls to the platform. */
 import { type Member, type Scope, type Survey } from '../contracts.js';
 import { type Methods, type Peer } from '../link/peer.js';
 import { type Ranking } from '../membership/ranking.js';
@@ -7,20 +7,23 @@
 import { type Mesh } from './mesh.js';
 import { SURVEY } from './methods.js';
 import { type Replica } from './replica.js';
-import { mergeSurveys, surveyOf, unknownSurvey } from './survey.js';
+import { mergeSurveys, surveyProcess, unknownSurvey } from './survey.js';
 
-/** Each level has this share of the time of the one above, so that it answers in time. */
+/**
+ * Share of the remaining time that each level gives to the level below, so that it can answer in
+ * time.
+ */
 const LEVEL_SHARE = 0.8;
-/** One attempt to have a survey made by the root. */
-const ATTEMPT_MS = 2_000;
-/** Processes of another data centre that are asked, one after the other. */
-const MAX_TRIES = 2;
-/** How long a survey goes on trying while the root is being replaced, in milliseconds. */
-const SURVEY_MS = 8_000;
+/** Timeout of one attempt to have the root run a survey, in milliseconds. */
+const ATTEMPT_TIMEOUT_MS = 2_000;
+/** Maximum number of processes of another data centre that are asked, one after the other. */
+const MAX_PROCESSES_ASKED = 2;
+/** How long a survey keeps retrying while the root is being replaced, in milliseconds. */
+const SURVEY_TIMEOUT_MS = 8_000;
 const RETRY_MS = 250;
 
-/** What a survey is about, and when its answer is of no use any more. */
-interface Inquiry {
+/** A survey request with its deadline on this process's clock. */
+interface SurveyTask {
   readonly scope: Scope['scope'];
   readonly head: number;
   readonly deadline: number;
@@ -41,95 +44,105 @@
     });
   }
 
-  /** Counts who holds what in the fleet; who cannot be reached is unknown, never left out. */
+  /**
+   * Counts how many processes of the fleet hold which version. Processes that cannot be reached
+   * count as unknown; none is left out.
+   */
   async survey(): Promise<Survey> {
-    const known = this.mesh.peers.map((peer) => peer.version);
-    const head = Math.max(this.replica.current.number, ...known);
-    const giveUp = this.clock.now() + SURVEY_MS;
-    while (this.clock.now() < giveUp) {
+    const peerVersions = this.mesh.peers.map((peer) => peer.version);
+    const head = Math.max(this.replica.current.number, ...peerVersions);
+    const giveUpAt = this.clock.now() + SURVEY_TIMEOUT_MS;
+    while (this.clock.now() < giveUpAt) {
       try {
         return await this.#answer({
           scope: 'fleet',
           head,
-          deadline: this.clock.now() + ATTEMPT_MS,
+          deadline: this.clock.now() + ATTEMPT_TIMEOUT_MS,
         });
       } catch {
-        // The root died or is paused; in a moment the ranking has another one.
+        // The root has died or is paused; the ranking will soon have another one.
         await this.clock.sleepUntil(this.clock.now() + RETRY_MS);
       }
     }
-    return this.#alone(head);
+    return this.#surveyWithoutRoot(head);
   }
 
-  /** Rejects if the root of the data centre does not answer in time. */
-  async #answer(inquiry: Inquiry): Promise<Survey> {
-    if (inquiry.scope !== 'subtree' && !this.ranking.isRoot) return this.#askParent(inquiry);
-    const parts = [this.#own(inquiry.head)];
-    const below = this.ranking.children.map((child) => this.#below(child, inquiry));
-    const beside = inquiry.scope === 'fleet' ? this.#beside(inquiry) : [];
-    parts.push(...(await Promise.all([...below, ...beside])));
+  /**
+   * Answers a survey request, by way of the root unless only the subtree is asked for. Rejects if
+   * the root does not answer in time.
+   */
+  async #answer(task: SurveyTask): Promise<Survey> {
+    if (task.scope !== 'subtree' && !this.ranking.isRoot) return this.#askParent(task);
+    const parts = [this.#surveySelf(task.head)];
+    const subtrees = this.ranking.children.map((child) => this.#surveySubtree(child, task));
+    const otherDataCentres = task.scope === 'fleet' ? this.#surveyOtherDataCentres(task) : [];
+    parts.push(...(await Promise.all([...subtrees, ...otherDataCentres])));
     return mergeSurveys(parts);
   }
 
-  #own(head: number): Survey {
-    return surveyOf(this.roster.self, this.replica, head);
+  #surveySelf(head: number): Survey {
+    return surveyProcess(this.roster.self, this.replica, head);
   }
 
-  #askParent(inquiry: Inquiry): Promise<Survey> {
+  #askParent(task: SurveyTask): Promise<Survey> {
     const { parent } = this.ranking;
     const peer = parent && this.mesh.peer(parent.instance);
-    if (!peer) throw new Error('no link towards the root');
-    return this.#ask(peer, inquiry.scope, inquiry);
+    if (!peer) throw new Error('no link to the parent');
+    return this.#ask(peer, task.scope, task);
   }
 
-  /** A child that does not answer leaves all below it unknown. */
-  async #below(child: Member, inquiry: Inquiry): Promise<Survey> {
+  /**
+   * Surveys the subtree of a child. If the child does not answer, its whole subtree counts as
+   * unknown.
+   */
+  async #surveySubtree(child: Member, task: SurveyTask): Promise<Survey> {
     const peer = this.mesh.peer(child.instance);
     try {
-      if (peer) return await this.#ask(peer, 'subtree', inquiry);
+      if (peer) return await this.#ask(peer, 'subtree', task);
     } catch {
-      // Counted below.
+      // Counted as unknown below.
     }
     const { dataCentre } = this.roster.self;
     return unknownSurvey([child, ...this.ranking.descendants(dataCentre, child.instance)]);
   }
 
-  #beside(inquiry: Inquiry): Promise<Survey>[] {
+  #surveyOtherDataCentres(task: SurveyTask): Promise<Survey>[] {
     const own = this.roster.self.dataCentre;
     const others = this.ranking.dataCentres().filter((name) => name !== own);
-    return others.map((name) => this.#dataCentre(name, inquiry));
+    return others.map((name) => this.#surveyDataCentre(name, task));
   }
 
-  /** Asks any process of another data centre to which there is a link, the root first. */
-  async #dataCentre(name: string, inquiry: Inquiry): Promise<Survey> {
+  /** Asks processes of another data centre that are linked, the root first, until one answers. */
+  async #surveyDataCentre(name: string, task: SurveyTask): Promise<Survey> {
     const root = this.ranking.root(name)?.instance;
     const linked = this.mesh.peers
       .filter((peer) => peer.member?.dataCentre === name)
       .sort((a, b) => Number(b.member?.instance === root) - Number(a.member?.instance === root));
-    const span = (inquiry.deadline - this.clock.now()) / Math.min(linked.length, MAX_TRIES);
-    for (const peer of linked.slice(0, MAX_TRIES)) {
+    const attemptMs =
+      (task.deadline - this.clock.now()) / Math.min(linked.length, MAX_PROCESSES_ASKED);
+    for (const peer of linked.slice(0, MAX_PROCESSES_ASKED)) {
       try {
-        const deadline = this.clock.now() + span;
-        return await this.#ask(peer, 'data-centre', { ...inquiry, deadline });
+        const deadline = this.clock.now() + attemptMs;
+        return await this.#ask(peer, 'data-centre', { ...task, deadline });
       } catch {
-        // The next one may be in reach.
+        // The next peer may be reachable.
       }
     }
     return { ...unknownSurvey(this.ranking.ranked(name)), unreached: [name] };
   }
 
-  #ask(peer: Peer, scope: Scope['scope'], { head, deadline }: Inquiry): Promise<Survey> {
+  #ask(peer: Peer, scope: Scope['scope'], { head, deadline }: SurveyTask): Promise<Survey> {
     const withinMs = (deadline - this.clock.now()) * LEVEL_SHARE;
     return peer.request(SURVEY, { scope, head, withinMs }, deadline);
   }
 
-  /** What is left to say when no root answers. */
-  #alone(head: number): Survey {
+  /** The survey if no root answers: only this process is known. */
+  #surveyWithoutRoot(head: number): Survey {
     const { self } = this.roster;
     const own = this.ranking.ranked(self.dataCentre);
     const others = this.ranking.dataCentres().filter((name) => name !== self.dataCentre);
     return mergeSurveys([
-      this.#own(head),
+      this.#surveySelf(head),
       unknownSurvey(own.filter(({ instance }) => instance !== self.instance)),
       ...others.map((name) => ({ ...unknownSurvey(this.ranking.ranked(name)), unreached: [name] })),
     ]);
--- a/src/test/distribution/distributor_test.ts
+++ b/src/test/distribution/distributor_test.ts
@@ -5,26 +5,26 @@
 import { type Node, TestFleet } from './test_fleet.js';
 
 const SIZES = { arima: 6, chaguanas: 4 };
-/** Within this time every process holds a version that nothing hinders, in milliseconds. */
-const PROMPT_MS = 50;
-/** Within this time a fault on the way of a version is made good, in milliseconds. */
-const HEAL_MS = 3_000;
+/** Time within which every process holds a version when there are no faults, in milliseconds. */
+const PROPAGATION_MS = 50;
+/** Time within which processes recover from a fault during distribution, in milliseconds. */
+const RECOVERY_MS = 3_000;
 
-async function converge(fleet: TestFleet, version: number, ms = HEAL_MS): Promise<void> {
+async function converge(fleet: TestFleet, version: number, ms = RECOVERY_MS): Promise<void> {
   expect(await fleet.time.until(() => fleet.holds(version), ms)).to.equal(true);
   const digests = new Set(fleet.alive.map(({ control }) => control.replica.current.digest));
   expect([...digests]).to.deep.equal([fleet.accepted[version]!.digest]);
 }
 
 describe('Distributor', () => {
-  it('brings a version to every process at once', async () => {
+  it('delivers a version to every process promptly', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
-    await converge(fleet, await fleet.accept(), PROMPT_MS);
+    await converge(fleet, await fleet.accept(), PROPAGATION_MS);
   });
 
-  // The root has the version from the platform and dies before, or while, it tells others. They
-  // get it from the second reader, and the tree below the dead root from its ring neighbours.
-  it('spreads a version although the root dies in mid-push', async () => {
+  // Guards against a version being lost when the root dies after reading it, before or while it
+  // pushes. The second reader and the ring neighbours have to deliver it.
+  it('delivers a version when the root dies during the push', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     const [root] = fleet.ranked('arima');
     root!.control.replica.onApplied(() => fleet.kill(root!.name, 'silent'));
@@ -32,19 +32,19 @@
     expect(root!.isAlive).to.equal(false);
   });
 
-  // A relay with a subtree dies as the version reaches it, so its children get no push. They hear
-  // of the version from the neighbours on the ring, and pull it.
-  it('reaches the children of a relay that dies in mid-push', async () => {
+  // Guards against a subtree that misses a version because its inner died before it pushed. The
+  // children have to learn of the version from their ring neighbours, and pull it.
+  it('delivers a version to the children of a process that dies during the push', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
-    const relay = fleet.ranked('arima')[1]!;
-    expect(relay.control.ranking.children.length).to.be.greaterThan(0);
-    relay.control.replica.onApplied(() => fleet.kill(relay.name, 'silent'));
+    const inner = fleet.ranked('arima')[1]!;
+    expect(inner.control.ranking.children.length).to.be.greaterThan(0);
+    inner.control.replica.onApplied(() => fleet.kill(inner.name, 'silent'));
     await converge(fleet, await fleet.accept());
   });
 
-  // Both readers of a data centre are paused while a version is accepted. The version comes from
-  // the other data centre's readers; the paused ones catch up when they wake, and nobody goes back.
-  it('goes round readers that are paused in mid-push', async () => {
+  // Guards against a data centre that stalls while both its readers are paused, instead of getting
+  // the version from the other one, and against readers that go back when resumed.
+  it('delivers a version while the readers of a data centre are paused', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     const readers = fleet.ranked('arima').slice(0, 2);
     readers.forEach(({ host }) => host.gate.shut());
@@ -57,9 +57,9 @@
     await converge(fleet, version);
   });
 
-  // Messages are lost, doubled, delayed and overtaken while versions come in a row. Each process
-  // ends with all of them, once each and in order, a few heartbeats after the faults end.
-  it('makes good what links lose, double, delay and reorder', async () => {
+  // Guards against versions that are lost, applied twice or applied out of order when messages are
+  // lost, duplicated, delayed and reordered.
+  it('recovers from lost, duplicated, delayed and reordered messages', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     const applied = new Map(fleet.alive.map(({ name }) => [name, [] as number[]]));
     for (const { name, control } of fleet.alive) {
@@ -78,26 +78,26 @@
     }
   });
 
-  // A peer says that it is ahead and is paused. The pull from it hangs until its deadline, 2 s
-  // later; another peer that gets ahead meanwhile is asked beside it, long before that.
-  it('is not stuck behind one peer that does not answer a pull', async () => {
+  // Guards against a pull that hangs until its 2 s deadline because the peer that announced the
+  // version is paused. Another peer that gets ahead has to be asked in the meantime.
+  it('pulls from another peer when one does not answer', async () => {
     await using fleet = await TestFleet.start({
       sizes: { arima: 5 },
       profile: new BytesProfile(),
     });
     const [paused, parent, , last] = fleet.ranked('arima');
-    const stuck = last!.control.mesh.peer(paused!.name)!;
+    const pausedPeer = last!.control.mesh.peer(paused!.name)!;
     paused!.host.gate.shut();
-    last!.control.distributor.heard(stuck, { version: 1, digest: '', roster: '' });
+    last!.control.distributor.heard(pausedPeer, { version: 1, digest: '', roster: '' });
     await fleet.time.advance(250);
     parent!.control.replica.apply([fleet.next()]);
     const hasIt = () => held(last!) === 1;
     expect(await fleet.time.until(hasIt, 1_000)).to.equal(true);
   });
 
-  // A whole data centre loses the platform, then its neighbours too. It is served by the readers
-  // of the other one as long as it reaches them, and goes on with what it has when it does not.
-  it('serves a data centre that is cut off, until it is cut off from all', async () => {
+  // Guards against a data centre without the platform that misses versions although it reaches the
+  // readers of the other one, or that loses its current version when it reaches neither.
+  it('delivers versions to a data centre without the platform as long as it reaches another one', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     fleet.cutOff.add('chaguanas');
     await converge(fleet, await fleet.accept(), 500);
@@ -111,18 +111,18 @@
     await converge(fleet, 2, 8_000);
   });
 
-  // The watches of all readers hang on connections that have gone silent, except in one data
-  // centre. The version comes from there at once, instead of when the other watches run out.
-  it('does not wait for watches that hang', async () => {
+  // Guards against waiting for the watches on silent connections to time out: the version has to
+  // come from the only data centre whose watches still work.
+  it('does not wait for hanging watches', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     await converge(fleet, await fleet.accept());
     fleet.cutOff.add('chaguanas');
     await converge(fleet, await fleet.accept(), 500);
   });
 
-  // The platform takes 400 ms for each call, then is down for a while. A version is late by the
-  // one call, and after the outage by a jittered wait, and the readers need no help to go on.
-  it('follows a platform that is slow and goes away for moments', async () => {
+  // Guards against readers that need help after the platform was slow or down: a version may be
+  // late by one call of 400 ms, and after an outage by one jittered wait.
+  it('follows a platform that is slow, and one that is down for a while', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     fleet.platform.faults.slowMs = 400;
     const accepting = fleet.accept();
@@ -133,12 +133,12 @@
     fleet.platform.disturb();
     await fleet.time.advance(5_000);
     fleet.platform.faults.down = false;
-    await converge(fleet, await fleet.accept(), HEAL_MS);
+    await converge(fleet, await fleet.accept(), RECOVERY_MS);
   });
 
-  // A version in the log is forged, then followed by one built on it. Every process refuses both
-  // whole and keeps what it has; the reason is in the survey; nobody reads or pulls in a loop.
-  it('refuses a bad version everywhere, says why and does not loop', async () => {
+  // Guards against a forged version, or one built on it, being partly applied, and against
+  // processes that read or pull it in a loop. The survey has to report the reason.
+  it('refuses a forged version in every process, reports the reason and does not retry in a loop', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     await converge(fleet, await fleet.accept());
     const good = fleet.next();
@@ -154,9 +154,9 @@
     expect(fleet.platform.calls.watches).to.be.lessThan(60);
   });
 
-  // A peer claims to hold more than it will serve, or serves what is refused. The process asks it
-  // a few times, each time later, instead of asking again as soon as it has the answer.
-  it('asks a peer that only serves a refused version less and less', async () => {
+  // Guards against a pull loop on a peer that announces a version that it never serves. The wait
+  // has to grow with each attempt.
+  it('backs off from a peer that does not serve the version it announced', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 3 } });
     const [one, other] = fleet.ranked('arima');
     const peer = one!.control.mesh.peer(other!.name)!;
@@ -168,11 +168,11 @@
     expect(mine.link.bytesReceived - received).to.be.lessThan(2_500);
   });
 
-  // A configuration is larger than one frame may be, and the newcomer has none of it. It comes in
-  // pages, is put in force whole, and a version larger than a page takes the same way.
-  it('carries configurations and versions that are larger than a page', async () => {
+  // Guards against a configuration larger than a frame that cannot be sent to a new process, or is
+  // applied in part. A version larger than a page is sent in the same way.
+  it('transfers configurations and versions that are larger than a page', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 4 } });
-    await converge(fleet, await fleet.accept(large()), HEAL_MS);
+    await converge(fleet, await fleet.accept(large()), RECOVERY_MS);
     const newcomer = fleet.launch('arima-9', 'arima');
     await fleet.time.until(() => newcomer.control.replica.current.number === 1, 5_000);
     await converge(fleet, 1);
--- a/src/test/distribution/narrow_links_test.ts
+++ b/src/test/distribution/narrow_links_test.ts
@@ -5,12 +5,12 @@
 import { LongMessageCodec } from '../../link/long_message_codec.js';
 import { PROMPT } from '../../membership/pace.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { StillFeed } from './still_feed.js';
+import { IdleFeed } from './still_feed.js';
 import { TestFleet } from './test_fleet.js';
 
 const LINK_KBPS = 5_880;
-/** What the links alone may take of the time in which a version has to be in force everywhere. */
-const IN_FORCE_MS = 1_000;
+/** Time that the transfer may take until every process has applied the version, in milliseconds. */
+const APPLY_TIMEOUT_MS = 1_000;
 const ROUTES = 1_126;
 const MORE_ROUTES = 1_400;
 
@@ -42,14 +42,14 @@
     pace: PROMPT,
     linkKbps: LINK_KBPS,
     codec: new LongMessageCodec(new MsgpackCodec(), MAX_FRAME_BYTES),
-    feed: (_, clock) => new StillFeed(clock),
+    feed: (_, clock) => new IdleFeed(clock),
   });
 }
 
 describe('a large version over narrow links', () => {
-  // Guards against links that carry the whole configuration to each process, while requests go by
-  // the version before.
-  it('is in force everywhere in time, as only its change has to cross', async () => {
+  // Guards against sending the whole configuration to each process, during which requests are
+  // routed by the previous version.
+  it('is applied by every process in time, because only its change is sent', async () => {
     await using fleet = await start(8);
     const [first] = fleet.ranked('arima') as [(typeof fleet.alive)[0]];
     const write = (number: number, resources: readonly Resource[]) =>
@@ -59,6 +59,6 @@
     await fleet.time.advance(20_000);
     expect(fleet.holds(3)).to.equal(true);
     write(15, [...before, ...routes(MORE_ROUTES)]);
-    expect(await fleet.time.until(() => fleet.holds(15), IN_FORCE_MS)).to.equal(true);
+    expect(await fleet.time.until(() => fleet.holds(15), APPLY_TIMEOUT_MS)).to.equal(true);
   });
 });
--- a/src/test/distribution/newest_object.ts
+++ b/src/test/distribution/newest_object.ts
@@ -1,13 +1,13 @@
-/** Stand-in for a source that holds nothing but the newest configuration. */
+/** Stand-in for a source that only holds the newest configuration. */
 import { OutcomeError, type Resource, resourceKey } from '../../contracts.js';
 import { Feed } from '../../distribution/feed.js';
 import { type Replica } from '../../distribution/replica.js';
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
 
-const LOOK_EVERY_MS = 50;
+const POLL_INTERVAL_MS = 50;
 
-/** Written by the operator; whoever looks too late never sees the versions between. */
+/** The object that an operator writes. Readers that poll too late miss the versions in between. */
 export class NewestObject {
   number = 0;
 
@@ -17,28 +17,28 @@
     return [...this.#resources.values()];
   }
 
-  /** Makes a version of what was there and `resources`; numbers rise in uneven steps. */
+  /** Adds or replaces `resources` and increases the version number by `step`. */
   write(resources: readonly Resource[], step = 1): void {
     for (const resource of resources) this.#resources.set(resourceKey(resource), resource);
     this.number += step;
   }
 }
 
-/** Follows the object, and takes up to `tardyMs` to read a version that it has heard of. */
-export class TardyFeed extends Feed {
+/** Polls the object, and takes up to `maxReadMs` to read a version after noticing it. */
+export class SlowFeed extends Feed {
   constructor(
     private readonly object: NewestObject,
     private readonly replica: Replica,
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly isCut: () => boolean,
-    private readonly tardyMs: number,
+    private readonly maxReadMs: number,
   ) {
     super();
   }
 
   async catchUp(deadline: number): Promise<boolean> {
-    await this.clock.sleepUntil(Math.min(deadline, this.clock.now() + LOOK_EVERY_MS));
+    await this.clock.sleepUntil(Math.min(deadline, this.clock.now() + POLL_INTERVAL_MS));
     if (this.isCut()) {
       const props = { verdict: 'not-run', reason: 'unreachable' } as const;
       throw new OutcomeError('cut off from the object', props);
@@ -48,9 +48,9 @@
 
   async follow(deadline: number, signal: AbortSignal): Promise<boolean> {
     while (!signal.aborted && this.clock.now() < deadline) {
-      await this.clock.sleepUntil(this.clock.now() + LOOK_EVERY_MS, signal);
+      await this.clock.sleepUntil(this.clock.now() + POLL_INTERVAL_MS, signal);
       if (this.isCut() || this.object.number <= this.replica.current.number) continue;
-      const wait = this.random.jitter(this.tardyMs);
+      const wait = this.random.jitter(this.maxReadMs);
       await this.clock.sleepUntil(this.clock.now() + wait, signal);
       return this.isCut() || this.#take();
     }
--- a/src/test/distribution/properties_test.ts
+++ b/src/test/distribution/properties_test.ts
@@ -12,14 +12,16 @@
 );
 const RUNS = 12;
 const SEED = 20_261_202;
-/** Within this time all processes hold the same once faults have ended, in milliseconds. */
+/**
+ * Time within which all processes hold the same version once faults have ended, in milliseconds.
+ */
 const CONVERGE_MS = 30_000;
 
 const name = fc.constantFrom(...NAMES);
 const dataCentre = fc.constantFrom(...Object.keys(SIZES));
-const chance = fc.constantFrom(0, 0.1, 0.4);
+const probability = fc.constantFrom(0, 0.1, 0.4);
 
-/** One thing that happens, after which `waitMs` pass. */
+/** One event, after which `waitMs` pass. */
 const step = fc.record({
   waitMs: fc.constantFrom(0, 3, 40, 700, 5_000),
   event: fc.oneof(
@@ -44,57 +46,61 @@
     fc.record({ kind: fc.constant('heal' as const) }),
     fc.record({
       kind: fc.constant('links' as const),
-      lose: chance,
-      duplicate: chance,
-      reorder: chance,
+      lose: probability,
+      duplicate: probability,
+      reorder: probability,
     }),
   ),
 });
 type Event = (typeof step extends fc.Arbitrary<infer T> ? T : never)['event'];
 
-/** Looks at every version as it comes into force, and at what each instance served before. */
-class Watch {
-  readonly faults: string[] = [];
+/** Checks every version when it is applied, and the versions that each instance served earlier. */
+class InvariantChecker {
+  readonly violations: string[] = [];
 
-  /** Highest version that an instance held while ready, restarts included. */
+  /** Highest version that an instance held while ready, across restarts. */
   readonly #served = new Map<string, number>();
 
   constructor(private readonly fleet: TestFleet) {}
 
-  over({ name: instance, control }: Node): void {
+  watch({ name: instance, control }: Node): void {
     let held = control.replica.current.number;
     control.replica.onApplied(() => {
       const { number, digest } = control.replica.current;
-      if (number <= held) this.faults.push(`${instance} went from ${held} to ${number}`);
+      if (number <= held) this.violations.push(`${instance} went from ${held} to ${number}`);
       held = number;
-      this.#compare(control, number, digest);
+      this.#compareWithAccepted(control, number, digest);
     });
   }
 
-  look(): void {
+  checkServed(): void {
     for (const { name: instance, control } of this.fleet.alive) {
       if (!control.readiness.isReady) continue;
       const { number } = control.replica.current;
       const before = this.#served.get(instance) ?? 0;
-      if (number < before) this.faults.push(`${instance} served ${before} and now ${number}`);
+      if (number < before) this.violations.push(`${instance} served ${before} and now ${number}`);
       this.#served.set(instance, Math.max(before, number));
     }
   }
 
-  #compare({ replica }: Node['control'], number: number, digest: string): void {
+  #compareWithAccepted({ replica }: Node['control'], number: number, digest: string): void {
     const accepted = this.fleet.accepted[number];
     const isSame =
       accepted?.digest === digest &&
       canonical(accepted.resources()) === canonical(replica.current.resources());
-    if (!isSame) this.faults.push(`version ${number} is not the accepted one`);
-    if (validate(replica.current).length > 0) this.faults.push(`version ${number} dangles`);
+    if (!isSame) this.violations.push(`version ${number} is not the accepted one`);
+    if (validate(replica.current).length > 0) this.violations.push(`version ${number} dangles`);
   }
 }
 
-async function happen(fleet: TestFleet, watch: Watch, event: Event): Promise<void> {
+async function applyEvent(
+  fleet: TestFleet,
+  checker: InvariantChecker,
+  event: Event,
+): Promise<void> {
   const node = 'name' in event ? fleet.nodes.get(event.name)! : undefined;
   const restart = ({ name: instance, host }: Node) =>
-    watch.over(fleet.launch(instance, host.dataCentre));
+    checker.watch(fleet.launch(instance, host.dataCentre));
   switch (event.kind) {
     case 'accept':
       if (!fleet.platform.faults.down) await fleet.accept();
@@ -142,7 +148,7 @@
   }
 }
 
-/** A process is sent a version that was never accepted, by a peer that it has. */
+/** Makes a process receive a version that was never accepted. */
 function forge(fleet: TestFleet, { control }: Node): void {
   const good = fleet.next();
   const change: Change = { put: good.change.put.slice(0, 1), remove: [] };
@@ -157,34 +163,36 @@
 }
 
 describe('Distribution', () => {
-  // Processes die, pause and restart, one or all; links lose, double and reorder or go silent;
-  // data centres are cut off from the platform and each other; the platform goes away; forged
-  // versions come in. Whatever the order: no instance goes back, each holds the accepted bytes of
-  // its version, references are closed, and all hold the last accepted version once faults end.
-  it('keeps its promises under any sequence of faults (property)', async () => {
+  // Guards against an instance that goes back, differs from the accepted version, has dangling
+  // references or does not converge, whatever the order of faults and forged versions.
+  it('upholds its invariants under any sequence of faults (property)', async () => {
     const property = fc.asyncProperty(
       fc.array(step, { minLength: 8, maxLength: 20 }),
       fc.boolean(),
       async (steps, isBytes) => {
         const profile = isBytes ? new BytesProfile() : new ConvergenceProfile();
         await using fleet = await TestFleet.start({ sizes: SIZES, profile });
-        const watch = new Watch(fleet);
-        fleet.alive.forEach((node) => watch.over(node));
+        const watch = new InvariantChecker(fleet);
+        fleet.alive.forEach((node) => watch.watch(node));
         for (const { event, waitMs } of steps) {
-          await happen(fleet, watch, event);
-          await fleet.time.until(() => void watch.look() === undefined && false, waitMs, 100);
+          await applyEvent(fleet, watch, event);
+          await fleet.time.until(
+            () => void watch.checkServed() === undefined && false,
+            waitMs,
+            100,
+          );
         }
         heal(fleet);
         for (const node of fleet.nodes.values()) {
-          if (!node.isAlive) watch.over(fleet.launch(node.name, node.host.dataCentre));
+          if (!node.isAlive) watch.watch(fleet.launch(node.name, node.host.dataCentre));
           else node.host.gate.open();
         }
         const head = fleet.accepted.length - 1;
         const isWell = () =>
           fleet.holds(head) && fleet.alive.every(({ control }) => control.readiness.isReady);
         const hasConverged = await fleet.time.until(isWell, CONVERGE_MS, 100);
-        watch.look();
-        expect(watch.faults).to.deep.equal([]);
+        watch.checkServed();
+        expect(watch.violations).to.deep.equal([]);
         expect([hasConverged, fleet.alive.length]).to.deep.equal([true, NAMES.length]);
       },
     );
--- a/src/test/distribution/readiness_test.ts
+++ b/src/test/distribution/readiness_test.ts
@@ -11,7 +11,7 @@
   return control.replica.current.number;
 }
 
-/** The last by rank: no reader, and without children. */
+/** The process with the last rank: neither a reader nor a parent. */
 function leafOf(fleet: TestFleet, dataCentre: string): Node {
   return fleet.ranked(dataCentre).at(-1)!;
 }
@@ -23,7 +23,7 @@
 }
 
 describe('Readiness', () => {
-  it('comes soon when the platform is there, with version 0 too', async () => {
+  it('is reached soon when the platform is available, also at version 0', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     expect(fleet.alive.every(isReady)).to.equal(true);
     await fleet.accept();
@@ -34,9 +34,9 @@
     expect(held(leaf)).to.equal(1);
   });
 
-  // The platform is down while a process that reads nothing from it is replaced. Its neighbours
-  // remember what it held, so it takes requests again as soon as it holds that, without the log.
-  it('comes from the neighbours when the platform is down', async () => {
+  // Guards against a process that cannot become ready without the log: its neighbours remember the
+  // version that its instance held, which is enough for a process that is no reader.
+  it('is reached through the neighbours when the platform is down', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     await fleet.accept();
     await fleet.time.advance(3_000);
@@ -46,10 +46,9 @@
     expect(held(leaf)).to.equal(1);
   });
 
-  // A reader reads a version that nobody else gets, as its links have gone silent, and dies with
-  // it. Then the platform is down. Its neighbours remember an older version: were that enough, its
-  // callers would be served by an older configuration than before.
-  it('does not come to a reader from its neighbours, who may have missed its last version', async () => {
+  // Guards against a restarted reader that serves an older version than before: its neighbours
+  // missed the last one, as its links were silent, and remember the one before.
+  it('is not reached by a reader through its neighbours, which may have missed its last version', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     await fleet.accept();
     await fleet.time.advance(3_000);
@@ -71,10 +70,9 @@
     expect(held(successor)).to.equal(2);
   });
 
-  // Every process is killed at once and the platform is down: nobody remembers anything, and each
-  // would be vouched for only by what the others just started with. None is ready until the log
-  // is there again.
-  it('comes to nobody when neighbours and platform are gone, until the platform is back', async () => {
+  // Guards against restarted processes that confirm each other's versions when no process remembers
+  // any: none may become ready before the log can be read.
+  it('is reached by no process while neighbours and platform are gone', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     await fleet.accept();
     await fleet.time.advance(3_000);
@@ -89,9 +87,9 @@
     expect(new Set(fleet.versions)).to.deep.equal(new Set([1]));
   });
 
-  // A herd dies and starts again: every process needs to know the end of the log at once. Their
-  // questions are gathered on the way to the readers, so the platform is asked a few times.
-  it('costs the platform few calls when a herd starts', async () => {
+  // Guards against one call to the platform per process when all restart: their queries for the
+  // head of the log have to be batched on the way to the readers.
+  it('costs the platform few calls when many processes start at once', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 16 }, fanout: 4 });
     await fleet.accept();
     await fleet.time.advance(3_000);
@@ -103,9 +101,9 @@
     expect(fleet.platform.calls.reads - reads).to.be.lessThan(25);
   });
 
-  // A data centre is cut off from the platform and from one neighbour. A process that starts there
-  // learns the end of the log through a reader of the other neighbour, whichever it is.
-  it('comes through another data centre where the own one has lost the platform', async () => {
+  // Guards against a data centre that never becomes ready because it has lost the platform and one
+  // of its neighbours: the head of the log has to come through the other one, whichever it is.
+  it('is reached through another data centre when the own one has lost the platform', async () => {
     for (const lost of ['arima', 'tobago']) {
       const sizes = { arima: 3, chaguanas: 3, tobago: 3 };
       await using fleet = await TestFleet.start({ sizes });
--- a/src/test/distribution/replica_test.ts
+++ b/src/test/distribution/replica_test.ts
@@ -2,7 +2,7 @@
 import fc from 'fast-check';
 import { Configuration } from '../../configuration/configuration.js';
 import { type Change, Route, Upstream, type Version } from '../../contracts.js';
-import { differing } from '../../configuration/summary.js';
+import { differingBuckets } from '../../configuration/summary.js';
 import { Replica } from '../../distribution/replica.js';
 
 const listings = Upstream.parse({ kind: 'upstream', name: 'listings' });
@@ -19,9 +19,9 @@
 }
 
 describe('Replica', () => {
-  // What comes in is corrupt, dangling, from another chain or too large. Each is refused whole,
-  // with its reason, and what was in force before stays so, to the byte.
-  it('refuses what is not the next version, whole and with the reason', () => {
+  // Guards against a corrupt, dangling, foreign or too large version being applied, even in part,
+  // or being refused without its reason.
+  it('refuses anything but the next version as a whole, with the reason', () => {
     const { empty } = Configuration;
     const first = versionAfter(empty, { put: [listings], remove: [] });
     const held = empty.next(first.change);
@@ -46,7 +46,7 @@
     expect(outcomes).toMatchSnapshot();
   });
 
-  it('refuses a snapshot that is not what its digest says, or that dangles', () => {
+  it('refuses a snapshot that does not match its digest, or that has dangling references', () => {
     const held = Configuration.empty.next({ put: [menus], remove: [] });
     const { number, digest } = held;
     const parent = Configuration.empty.digest;
@@ -58,9 +58,9 @@
     expect(replica.current).to.equal(Configuration.empty);
   });
 
-  // Whatever two processes hold, and however they came by it: what differs brings the one that is
-  // behind to exactly what the other holds, and those that follow it get only the change.
-  it('settles with a peer that holds any other version (property)', () => {
+  // Guards against a difference that does not produce exactly the peer's configuration, or that is
+  // not passed on as a change.
+  it('applies the difference to a peer that holds any other version (property)', () => {
     const contents = fc.uniqueArray(fc.integer({ min: 0, max: 60 }), { maxLength: 40 });
     const resources = (indices: readonly number[], tag: number) =>
       indices.map((index) =>
@@ -73,23 +73,23 @@
         ahead.apply([versionAfter(Configuration.empty, { put: [listings], remove: [] })]);
       ahead.replace(27, resources(wanted, 3), 0);
       const { current, parent } = ahead;
-      const buckets = differing(behind.current.summary, current.summary);
+      const buckets = differingBuckets(behind.current.summary, current.summary);
       const { number, digest } = current;
       const difference = { number, digest, parent, buckets, resources: current.within(buckets) };
-      expect(behind.settle(difference, 0)).to.equal(true);
+      expect(behind.applyDifference(difference, 0)).to.equal(true);
       expect(behind.current.digest).to.equal(digest);
       expect(behind.since(24)?.length).to.equal(1);
     });
     fc.assert(property, { seed: 24, numRuns: 60 });
   });
 
-  it('refuses a difference that does not add up, and keeps what it holds', () => {
+  it('refuses a difference that does not match its digest, and keeps its configuration', () => {
     const [behind, ahead] = [new Replica(), new Replica()];
     behind.replace(24, [listings], 0);
     ahead.replace(27, [listings, menus], 0);
     const { number, digest } = ahead.current;
     const difference = { number, digest, parent: ahead.parent, buckets: [], resources: [] };
-    expect(behind.settle(difference, 0)).to.equal(false);
+    expect(behind.applyDifference(difference, 0)).to.equal(false);
     expect([behind.current.number, behind.refusal?.reason]).to.deep.equal([24, 'digest']);
   });
 });
--- a/src/test/distribution/still_feed.ts
+++ b/src/test/distribution/still_feed.ts
@@ -1,9 +1,9 @@
-/** Stand-in for a source that never tells of a version. */
+/** Stand-in for a source that never delivers a version. */
 import { Feed } from '../../distribution/feed.js';
 import { type Clock } from '../../runtime/clock.js';
 
-/** What a process holds is put there by the test. */
-export class StillFeed extends Feed {
+/** The test applies versions to the replica itself. */
+export class IdleFeed extends Feed {
   constructor(private readonly clock: Clock) {
     super();
   }
--- a/src/test/distribution/surveyor_test.ts
+++ b/src/test/distribution/surveyor_test.ts
@@ -13,7 +13,7 @@
   return found!;
 }
 
-/** Processes that are counted, one way or the other. */
+/** Number of processes counted as holding a version or as unknown. */
 function counted({ holding, unknownProcesses }: Survey): number {
   return holding.reduce((sum, { processes }) => sum + processes, unknownProcesses);
 }
@@ -29,23 +29,23 @@
     expect(fleet.platform.calls.reads - before.reads).to.equal(0);
   });
 
-  // A relay hangs: its link is open, but nothing comes back. Nobody can tell what the processes
-  // below it hold, so they are unknown, all of them and by name, not merely the relay.
-  it('names all processes below a relay that does not answer as unknown', async () => {
+  // Guards against a survey that omits the processes below one that does not answer: they are
+  // unknown, too, and named.
+  it('reports all processes below one that does not answer as unknown', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
-    const [root, relay] = fleet.ranked('arima');
-    const below = relay!.control.ranking.children.map(({ instance }) => instance);
-    relay!.host.gate.shut();
+    const [root, parent] = fleet.ranked('arima');
+    const below = parent!.control.ranking.children.map(({ instance }) => instance);
+    parent!.host.gate.shut();
     const found = await survey(fleet, root!);
     expect(below).to.have.length(2);
-    expect(found.unknown.sort()).to.deep.equal([relay!.name, ...below].sort());
+    expect(found.unknown.sort()).to.deep.equal([parent!.name, ...below].sort());
     expect(found.unknownProcesses).to.equal(3);
     expect(counted(found)).to.equal(10);
   });
 
-  // A data centre is cut off. Its processes go on serving, but what they hold cannot be known
-  // from outside: the survey says that it was not reached, instead of that it holds the version.
-  it('tells a data centre that it cannot reach', async () => {
+  // Guards against counting the processes of an unreachable data centre as holding a version: they
+  // are unknown.
+  it('reports a data centre that it cannot reach', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     fleet.network.cut('arima', 'chaguanas');
     const found = await survey(fleet, fleet.ranked('arima').at(-1)!);
@@ -53,8 +53,8 @@
     expect([counted(found), found.unknownProcesses]).to.deep.equal([10, 3]);
   });
 
-  // The root, through which every survey goes, died a moment ago. The survey waits until the
-  // ranking has another root and then counts all that are left.
+  // Guards against a survey that fails because the root has just died: it has to wait for the next
+  // root.
   it('goes through the new root when the old one has just died', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
     const [root, , , leaf] = fleet.ranked('arima');
@@ -63,17 +63,17 @@
     expect(found.holding).to.deep.equal([{ version: 0, processes: 9 }]);
   });
 
-  // Links have become slow, so the root holds a version that is still on its way to the others.
-  // They answer with what they hold, and are named as behind the root, not counted as holding.
-  it('names those behind the head, with the version they hold', async () => {
+  // Guards against counting processes as holding a version that the root has and that is still in
+  // transit to them.
+  it('names the processes behind the head, with the versions they hold', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 5 } });
     const [root, , ...others] = fleet.ranked('arima');
-    // Watches of processes that took themselves for readers at first have run out by then.
+    // Lets the watches end of processes that considered themselves readers at first.
     await fleet.time.advance(12_000);
     Object.assign(fleet.network.faults, { latencyMs: 500 });
     await fleet.accept();
     await fleet.time.advance(5);
-    // The questions overtake the push.
+    // The survey requests overtake the push.
     Object.assign(fleet.network.faults, { latencyMs: 1, reorder: 1 });
     const { laggards } = await survey(fleet, root!);
     expect(laggards.map(({ instance }) => instance).sort()).to.deep.equal(
--- a/src/test/distribution/test_fleet.ts
+++ b/src/test/distribution/test_fleet.ts
@@ -19,7 +19,7 @@
 import { logFeed } from '../../source/log_feed.js';
 import { FakeTime } from '../fake_time.js';
 
-/** One process of the fleet: its life may end and begin again under the same name. */
+/** A process of the fleet. It can be killed and launched again under the same name. */
 export interface Node {
   readonly name: string;
   readonly host: Host;
@@ -28,25 +28,28 @@
 }
 
 export interface FleetOptions {
-  /** Names of data centres, and how many processes each has. */
+  /** Number of processes by name of data centre. */
   readonly sizes: Readonly<Record<string, number>>;
   readonly profile?: Profile;
   readonly fanout?: number;
   readonly seed?: number;
   readonly codec?: Codec;
-  /** Where versions come from instead of the log; `isCut`: whether the process is cut off from it. */
+  /**
+   * Source of versions instead of the log. `isCut` tells whether the process is disconnected from
+   * it.
+   */
   readonly feed?: (replica: Replica, clock: Clock, isCut: () => boolean) => Feed;
   readonly pace?: Pace;
-  /** Rate of each machine's link to the network; wide enough for anything when absent. */
+  /** Bandwidth of each machine's network link in kbit/s; unlimited when absent. */
   readonly linkKbps?: number;
-  /** Called with each process before it starts, and what it has of the outside world. */
+  /** Called with each process before it starts, with its platform and clock. */
   readonly onLaunch?: (node: Node, platform: Platform, clock: Clock) => void;
 }
 
 const SETTLE_MS = 8_000;
 const HEARTBEAT_MS = 1_000;
 
-/** A few processes over memory links and one platform stand-in, under fake timers. */
+/** Processes with in-memory links and one shared platform stand-in, under fake timers. */
 export class TestFleet implements AsyncDisposable {
   readonly time = new FakeTime();
 
@@ -62,10 +65,10 @@
 
   readonly log = new Log(this.platform);
 
-  /** Data centres, or single processes, that are cut off from the platform. */
+  /** Names of data centres or processes that are disconnected from the platform. */
   readonly cutOff = new Set<string>();
 
-  /** Accepted configurations by version. */
+  /** Accepted configurations, indexed by version. */
   readonly accepted = [Configuration.empty];
 
   private constructor(private readonly options: FleetOptions) {
@@ -74,7 +77,7 @@
     this.network = new MemoryNetwork(this.clock, this.random, codec);
   }
 
-  /** Starts all processes and lets them get acquainted. */
+  /** Starts all processes and waits until they know each other. */
   static async start(options: FleetOptions): Promise<TestFleet> {
     const fleet = new TestFleet(options);
     for (const [dataCentre, size] of Object.entries(options.sizes)) {
@@ -90,7 +93,7 @@
     return [...this.nodes.values()].filter((node) => node.isAlive);
   }
 
-  /** Live processes of a data centre by rank. */
+  /** Live processes of a data centre, ordered by rank. */
   ranked(dataCentre: string): Node[] {
     const [any] = this.alive.filter(({ host }) => host.dataCentre === dataCentre);
     const members = any?.control.ranking.ranked(dataCentre) ?? [];
@@ -112,7 +115,7 @@
     return version.number;
   }
 
-  /** The next version, not written yet. */
+  /** Builds the next version without writing it. */
   next(change: Change = this.someChange()): Version {
     const head = this.accepted.at(-1)!;
     const { number, digest } = head.next(change);
@@ -120,7 +123,7 @@
     return { number, parent: head.digest, digest, note: `note-${number}`, acceptedAt, change };
   }
 
-  /** Puts a version into the log as it is, whether it is a good one or not. */
+  /** Appends a version to the log as it is, valid or not. */
   async write(version: Version): Promise<VersionRecord> {
     const record: VersionRecord = {
       version,
@@ -134,7 +137,7 @@
     return record;
   }
 
-  /** A route with an upstream of its own. */
+  /** A change that adds a route and an upstream for it. */
   someChange(): Change {
     const name = `suppers-${this.accepted.length}`;
     const upstream = Upstream.parse({ kind: 'upstream', name });
@@ -150,7 +153,7 @@
     void node.control[Symbol.asyncDispose]();
   }
 
-  /** Starts a process, anew if one of that name was killed. */
+  /** Starts a process, or a new one for the name of a killed process. */
   launch(name: string, dataCentre: string): Node {
     const gate = new Gate();
     const clock = new GatedClock(this.clock, gate);
