--- a/src/contracts.ts
+++ b/src/contracts.ts
@@ -1,4 +1,7 @@
-/** The contracts between processes, operators and the platform. */
+/**
+ * Schemas and types of the messages, stored records and settings that processes, operators and the
+ * platform exchange.
+ */
 export * from './contracts/audit.js';
 export * from './contracts/claim.js';
 export * from './contracts/death.js';
--- a/src/contracts/death.ts
+++ b/src/contracts/death.ts
@@ -1,26 +1,31 @@
-/** Requests that crash upstreams: what processes tell each other of deaths and clearances. */
+/** Messages about upstream instances that crashed, and the requests suspected of crashing them. */
 import * as z from 'zod';
 
-/** In flight at a death at most; an upstream instance has about 20 slots. */
+/**
+ * Maximum number of requests in flight reported for a death; an upstream instance has about 20
+ * slots.
+ */
 export const MAX_SUSPECTS = 32;
-/** Deaths and clearances in one message at most, which bounds it to some 300 KB. */
+/**
+ * Maximum number of deaths, and of clearances, in one message; bounds a message to about 300 KB.
+ */
 export const MAX_BULLETIN_ITEMS = 128;
 
-/** Digest of what tells a request from another. It does not give away the request. */
+/** Digest of the properties that identify a request; does not reveal the request. */
 const Fingerprint = z.string().max(80);
 
 /** An upstream instance died with requests in flight. */
 export const Death = z.strictObject({
-  /** Drawn by the process beside it; the same death counts once. */
+  /** Random id chosen by the process next to the instance; prevents counting a death twice. */
   id: z.string().max(64),
   upstream: z.string(),
   suspects: z.array(Fingerprint).max(MAX_SUSPECTS),
-  /** How long ago it was, in milliseconds: an instant would be misread where clocks differ. */
+  /** Age in milliseconds; an instant would be misread where clocks differ. */
   ageMs: z.number().min(0),
 });
 export type Death = z.infer<typeof Death>;
 
-/** A request was answered well: deaths from before cannot have been its doing. */
+/** A request was answered successfully, so it did not cause earlier deaths. */
 export const Clearance = z.strictObject({ fingerprint: Fingerprint, ageMs: z.number().min(0) });
 export type Clearance = z.infer<typeof Clearance>;
 
--- a/src/contracts/member.ts
+++ b/src/contracts/member.ts
@@ -1,31 +1,34 @@
-/** Membership: what processes know of each other. It is not configuration. */
+/** Membership: what processes know of each other. It is not part of the configuration. */
 import * as z from 'zod';
 import { Name } from './resource.js';
 
-/** How willing the upstream instance beside a process is to take work. */
+/** Whether the upstream instance next to a process accepts work. */
 export const EndpointState = z.enum(['cold', 'ready', 'draining', 'down']);
 export type EndpointState = z.infer<typeof EndpointState>;
 
-/** The last word of an upstream instance that leaves, by which the process beside it is bound. */
+/**
+ * Announcement by an upstream instance that it is leaving, which is binding for the process next to
+ * it.
+ */
 export const Drain = z.strictObject({
-  /** The id by which the upstream instance knows itself. */
+  /** Id that the upstream instance uses for itself. */
   id: z.string(),
-  /** Start of the upstream instance, in milliseconds since the epoch. */
+  /** Start time of the upstream instance, in milliseconds since the epoch. */
   born: z.number().int().optional(),
-  /** A later announcement takes it back; absent where nothing does. */
+  /** A later announcement, with a higher sequence, revokes it; absent if it cannot be revoked. */
   sequence: z.number().int().optional(),
 });
 export type Drain = z.infer<typeof Drain>;
 
-/** One instance of an upstream, as its process announces it. */
+/** An instance of an upstream, as announced by the process next to it. */
 export const Endpoint = z.strictObject({
   upstream: Name,
   state: EndpointState,
-  /** Requests it can run at a time. */
+  /** Maximum number of concurrent requests. */
   slots: z.number().int().min(1),
-  /** Version of its software; absent where nothing depends on it, and until it has said so. */
+  /** Version of its software; absent if nothing depends on it, or if not reported yet. */
   version: z.string().optional(),
-  /** Set while it drains because it has said so itself. */
+  /** Set while it drains at its own request. */
   drain: Drain.optional(),
 });
 export type Endpoint = z.infer<typeof Endpoint>;
@@ -33,18 +36,23 @@
 export const Liveness = z.enum(['alive', 'suspect', 'dead', 'left']);
 export type Liveness = z.infer<typeof Liveness>;
 
-/** One process of the system, and a statement about it; `isNewer` says which of two holds. */
+/**
+ * A statement about one process of the system; `isNewer` decides which of two statements prevails.
+ */
 export const Member = z.strictObject({
   instance: z.string().min(1),
   dataCentre: z.string().min(1),
   host: z.string(),
-  /** Links between processes. */
+  /** Port for links between processes. */
   linkPort: z.number().int(),
-  /** Requests for the upstream beside it. */
+  /** Port for requests to the upstream instance next to the process. */
   guardPort: z.number().int(),
   /** Operators' port. */
   operatorsPort: z.number().int(),
-  /** Start of the process, in milliseconds since the epoch; raised to refute what others say. */
+  /**
+   * Start time of the process, in milliseconds since the epoch; raised to refute what others state
+   * about it.
+   */
   incarnation: z.number().int(),
   /** Raised by the member itself with every change of its endpoint; -1 in a registration. */
   sequence: z.number().int(),
--- a/src/contracts/note.ts
+++ b/src/contracts/note.ts
@@ -2,7 +2,7 @@
 import * as z from 'zod';
 import { Limit, Name, Route, Rule, Upstream } from './resource.js';
 
-/** Longest text of a release note, in bytes. */
+/** Maximum size of the text of a release note, in bytes. */
 export const MAX_NOTE_BYTES = 4 * 1024 * 1024;
 
 const Section = z.strictObject({
@@ -21,7 +21,7 @@
 });
 
 /**
- * What one release note adds, changes and withdraws.
+ * What a release note adds, changes and withdraws.
  *
  * @example
  * ```yaml
@@ -33,17 +33,20 @@
  * ```
  */
 export const ReleaseNote = z.strictObject({
-  /** Chosen by the operator; submitting the same note again changes nothing. */
+  /** Chosen by the operator; submitting the same note again has no effect. */
   id: Name,
   author: z.string().min(1).max(200),
   title: z.string().max(500).optional(),
-  /** The version the author looked at. Later changes to the same resources are a conflict. */
+  /**
+   * The version that the author based the note on. Later changes to the same resources are a
+   * conflict.
+   */
   base: z.number().int().min(0).optional(),
-  /** Resources that must not be held yet. */
+  /** Resources that must not exist yet. */
   add: Section.prefault({}),
-  /** Resources that must be held already; each is replaced whole. */
+  /** Resources that must exist already; each is replaced as a whole. */
   change: Section.prefault({}),
-  /** Names of resources that must be held and will not be any more. */
+  /** Names of existing resources to remove. */
   withdraw: Withdrawal.prefault({}),
 });
 export type ReleaseNote = z.infer<typeof ReleaseNote>;
--- a/src/contracts/reconciliation.ts
+++ b/src/contracts/reconciliation.ts
@@ -1,29 +1,31 @@
-/** Messages with which two processes find out where their rosters differ. */
+/** Messages by which two processes find the differences between their rosters. */
 import * as z from 'zod';
 import { Member } from './member.js';
 
-/** Hash over each bucket of the sender's roster. */
+/** Hash of each bucket of the sender's roster. */
 export const BucketHashes = z.strictObject({ buckets: z.array(z.number().int()) });
 export type BucketHashes = z.infer<typeof BucketHashes>;
 
-/** Names a statement without its content. */
+/** Identifies a statement about a member without its content. */
 export const RosterEntry = z.strictObject({
   instance: z.string(),
-  /** Hash of the statement held about it. */
+  /** Hash of the statement held about the instance. */
   hash: z.number().int(),
-  /** Whether it is dead or has left: news only to who believes it alive. */
+  /**
+   * Whether the instance is dead or has left; only relevant to a receiver that considers it alive.
+   */
   isGone: z.literal(true).optional(),
 });
 export type RosterEntry = z.infer<typeof RosterEntry>;
 
-/** The buckets that differ, and all that the answering process holds in them. */
+/** The buckets that differ, and all entries of the answering process in them. */
 export const RosterDifference = z.strictObject({
   buckets: z.array(z.number().int()),
   entries: z.array(RosterEntry),
 });
 export type RosterDifference = z.infer<typeof RosterDifference>;
 
-/** Statements that the other end lacks, and the instances whose statements are asked for. */
+/** Statements that the other end lacks, and instances whose statements are requested. */
 export const RosterExchange = z.strictObject({
   members: z.array(Member),
   wanted: z.array(z.string()),
--- a/src/contracts/rollout.ts
+++ b/src/contracts/rollout.ts
@@ -1,15 +1,15 @@
-/** Roll-outs: what processes tell each other while an upstream moves to another version. */
+/** Messages about rollouts, which move an upstream to another version. */
 import * as z from 'zod';
 import { Name } from './resource.js';
 
 /**
- * How far a roll-out is, in the order in which phases override each other:
+ * Progress of a rollout. A later phase in this list overrides an earlier one:
  *
  * - `trial`: the new version gets a small share of the requests.
- * - `proof`: it passed, and gets a large share for a moment.
- * - `promoting`: it gets all new requests; the old version finishes what it has begun.
- * - `withdrawn`: it was found to be bad, and gets nothing.
- * - `rolled-back`, `completed`: the same word as the platform has it, which is final.
+ * - `proof`: it passed the trial, and briefly gets a large share.
+ * - `promoting`: it gets all new requests; the old version finishes its requests.
+ * - `withdrawn`: it was found to be faulty, and gets no requests.
+ * - `rolled-back`, `completed`: final, as recorded in the platform.
  */
 export const RolloutPhase = z.enum([
   'trial',
@@ -21,52 +21,60 @@
 ]);
 export type RolloutPhase = z.infer<typeof RolloutPhase>;
 
-/** An operator's order that an upstream move to a version, and how far that is. */
+/** An operator's order to move an upstream to a version, and its progress. */
 export const Rollout = z.strictObject({
   upstream: Name,
-  /** The version to move to, as its endpoints report it. */
+  /** The target version, as reported by its endpoints. */
   version: z.string(),
-  /** Revision of the platform at which the order was made; with the version it names the order. */
+  /**
+   * Revision of the platform at which the order was made; identifies the order together with the
+   * version.
+   */
   orderedAt: z.number().int(),
-  /** The highest revision at which the order was seen. */
+  /** The highest revision at which the order was read. */
   revision: z.number().int(),
-  /** How long the operator gives it, in milliseconds. */
+  /** Planned duration of the rollout, in milliseconds. */
   durationMs: z.number(),
   phase: RolloutPhase,
-  /** Whether the platform says that it is under way. */
+  /** Whether the platform records the rollout as under way. */
   isNoted: z.boolean(),
-  /** Whether the operator has taken the order back. */
+  /** Whether the operator has deleted the order. */
   isDeleted: z.boolean(),
 });
 export type Rollout = z.infer<typeof Rollout>;
 
-/** Answers of one endpoint to requests of one route, since a roll-out began. */
+/** Counts of one endpoint's answers to requests of one route since a rollout began. */
 export const RouteAnswers = z.strictObject({
   route: z.string(),
   answered: z.number().int(),
-  /** Of these: errors, broken answers, and none until the deadline. */
+  /** Of `answered`: errors, broken answers, and missing answers at the deadline. */
   failed: z.number().int(),
-  /** Of these: timed ones, and the sum of the natural logarithms of their milliseconds. */
+  /**
+   * Of `answered`: those with a measured duration. `logSum` is the sum of the natural logarithms of
+   * these durations in milliseconds.
+   */
   timed: z.number().int(),
   logSum: z.number(),
 });
 export type RouteAnswers = z.infer<typeof RouteAnswers>;
 
-/** What one guard has seen of its endpoint. All numbers only rise in one life of its process. */
+/**
+ * What one guard has observed of its endpoint. Counts only increase during the life of a process.
+ */
 export const Evidence = z.strictObject({
   instance: z.string(),
-  /** Start of the process that counted. */
+  /** Start time of the process that counted, in milliseconds since the epoch. */
   incarnation: z.number().int(),
   upstream: Name,
   /** Version of the endpoint. */
   version: z.string(),
-  /** The order it was counted for: its version, and the revision at which it was made. */
+  /** Identifier of the order that it was counted for: `version@orderedAt`. */
   order: z.string(),
   routes: z.array(RouteAnswers),
 });
 export type Evidence = z.infer<typeof Evidence>;
 
-/** A version that no order asks for, found out by a reader of the platform at a revision. */
+/** A version without an order, as found by a reader of the platform at a revision. */
 export const VersionClearance = z.strictObject({
   upstream: Name,
   version: z.string(),
@@ -74,9 +82,9 @@
 });
 export type VersionClearance = z.infer<typeof VersionClearance>;
 
-/** What is news to the neighbours of its sender. */
+/** Orders, clearances and evidence that are new to the sender's neighbours. */
 export const RolloutNews = z.strictObject({
-  /** Whether the sender knows all orders, so that what it does not name is not ordered. */
+  /** Whether the sender knows all orders, so that versions without an order here have none. */
   isComplete: z.boolean(),
   rollouts: z.array(Rollout),
   clearances: z.array(VersionClearance),
--- a/src/contracts/status.ts
+++ b/src/contracts/status.ts
@@ -1,10 +1,13 @@
-/** Where release notes stand across the fleet. */
+/** Status of release notes across the fleet. */
 import * as z from 'zod';
 import { Rollout } from './rollout.js';
 import { Survey } from './survey.js';
 import { Action } from './version.js';
 
-/** One accepted version. Who handed it in is absent where only its copy at a process was read. */
+/**
+ * An accepted version. `action` and `author` are absent if it was read from a process instead of
+ * the log.
+ */
 export const Standing = z.strictObject({
   number: z.number().int().min(1),
   note: z.string(),
@@ -15,16 +18,18 @@
 export type Standing = z.infer<typeof Standing>;
 
 export const Status = z.strictObject({
-  /** Instant of the answer at the process asked, in milliseconds since the epoch. */
+  /**
+   * Instant of the answer on the clock of the answering process, in milliseconds since the epoch.
+   */
   asOf: z.number(),
-  /** The latest version that the process asked knows to be accepted. */
+  /** The latest accepted version known to the answering process. */
   head: z.number().int(),
-  /** Whether the platform answered; if not, later versions may have been accepted. */
+  /** Whether the log was read from the platform; if not, later versions may have been accepted. */
   isLogRead: z.boolean(),
-  /** The latest versions, or those of one note, newest first. */
+  /** The latest versions, or those of one release note, newest first. */
   versions: z.array(Standing),
   survey: Survey,
-  /** The last order for each upstream, as the process asked knows it. */
+  /** The last order for each upstream that the answering process knows. */
   rollouts: z.array(Rollout).default([]),
 });
 export type Status = z.infer<typeof Status>;
--- a/src/contracts/survey.ts
+++ b/src/contracts/survey.ts
@@ -1,7 +1,7 @@
-/** Where versions stand across the fleet. */
+/** Surveys: which versions the processes of the fleet hold. */
 import * as z from 'zod';
 
-/** A process that does not hold the head, and why. */
+/** A process that is behind the head or has refused a version, and the reason. */
 export const Laggard = z.strictObject({
   instance: z.string(),
   dataCentre: z.string(),
@@ -10,34 +10,39 @@
 });
 export type Laggard = z.infer<typeof Laggard>;
 
-export const Holding = z.strictObject({
+export const VersionCount = z.strictObject({
   version: z.number().int(),
   processes: z.number().int(),
 });
 
-/** Counted by each process over its part of the tree. */
+/** Result of a survey; each process counts for its part of the tree. */
 export const Survey = z.strictObject({
-  /** How many processes hold which version. */
-  holding: z.array(Holding),
-  /** The first processes that are behind the head or have refused a version. */
+  /** Number of processes by the version that they hold. */
+  holding: z.array(VersionCount),
+  /** Processes that are behind the head or have refused a version; at most `MAX_SURVEY_ENTRIES`. */
   laggards: z.array(Laggard),
-  /** How many processes did not answer: they are never counted as holding. */
+  /** Number of processes that did not answer; they are never counted as holding a version. */
   unknownProcesses: z.number().int(),
-  /** The first of them by name. */
+  /** Instances of these processes; at most `MAX_SURVEY_ENTRIES`. */
   unknown: z.array(z.string()),
-  /** Data centres that were not reached at all. */
+  /** Data centres from which no process answered. */
   unreached: z.array(z.string()),
 });
 export type Survey = z.infer<typeof Survey>;
 
-export const Scope = z.strictObject({
+export const SurveyQuery = z.strictObject({
   scope: z.enum(['subtree', 'data-centre', 'fleet']),
-  /** The highest version known where the survey began. */
+  /** The highest version known to the process that started the survey. */
   head: z.number().int(),
-  /** Time in which the answer is of use, in milliseconds; it shrinks with each level. */
+  /**
+   * Time within which the answer is needed, in milliseconds; decreases with each level of the tree.
+   */
   withinMs: z.number(),
 });
-export type Scope = z.infer<typeof Scope>;
+export type SurveyQuery = z.infer<typeof SurveyQuery>;
 
-/** The first ones suffice to see what is wrong, and bound the answer's size. */
+/**
+ * Maximum number of processes listed by name: enough to see a problem, and bounds the size of the
+ * answer.
+ */
 export const MAX_SURVEY_ENTRIES = 50;
--- a/src/distribution/methods.ts
+++ b/src/distribution/methods.ts
@@ -20,7 +20,7 @@
   RolloutNews,
   RosterDifference,
   RosterExchange,
-  Scope,
+  SurveyQuery,
   Survey,
 } from '../contracts.js';
 import { type Method } from '../link/peer.js';
@@ -65,7 +65,11 @@
   params: Confirm,
   result: Confirmed,
 };
-export const SURVEY: Method<Scope, Survey> = { name: 'survey', params: Scope, result: Survey };
+export const SURVEY: Method<SurveyQuery, Survey> = {
+  name: 'survey',
+  params: SurveyQuery,
+  result: Survey,
+};
 /** Reports deaths of upstream instances and clearances of suspected requests. */
 export const BULLETIN: Method<Bulletin, unknown> = {
   name: 'bulletin',
--- a/src/distribution/surveyor.ts
+++ b/src/distribution/surveyor.ts
@@ -1,5 +1,5 @@
 /** Surveys which versions the fleet holds, through the tree and without calls to the platform. */
-import { type Member, type Scope, type Survey } from '../contracts.js';
+import { type Member, type SurveyQuery, type Survey } from '../contracts.js';
 import { type Methods, type Peer } from '../link/peer.js';
 import { type Ranking } from '../membership/ranking.js';
 import { type Roster } from '../membership/roster.js';
@@ -24,7 +24,7 @@
 
 /** A survey request with its deadline on this process's clock. */
 interface SurveyTask {
-  readonly scope: Scope['scope'];
+  readonly scope: SurveyQuery['scope'];
   readonly head: number;
   readonly deadline: number;
 }
@@ -131,7 +131,7 @@
     return { ...unknownSurvey(this.ranking.ranked(name)), unreached: [name] };
   }
 
-  #ask(peer: Peer, scope: Scope['scope'], { head, deadline }: SurveyTask): Promise<Survey> {
+  #ask(peer: Peer, scope: SurveyQuery['scope'], { head, deadline }: SurveyTask): Promise<Survey> {
     const withinMs = (deadline - this.clock.now()) * LEVEL_SHARE;
     return peer.request(SURVEY, { scope, head, withinMs }, deadline);
   }
