--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -9,27 +9,30 @@
 import { canonical, digestOf, GENESIS, sha256 } from './digest.js';
 import { type Contribution, contributionOf, summaryOf } from './summary.js';
 
-interface Held {
+interface ResourceEntry {
   readonly resource: Resource;
   readonly digest: string;
   /** Length as canonical JSON. */
   readonly bytes: number;
-  /** What the digest of a configuration is worked out over. */
-  readonly line: string;
-  /** What a summary of a configuration is made of. */
+  /** Line of the text whose hash is the state digest: key and digest of the resource. */
+  readonly digestLine: string;
+  /** Contribution of the resource to the configuration's summary. */
   readonly contribution: Contribution;
 }
 
-/** Resources by key, with what would else be worked out anew for each version. */
-interface Holding {
-  readonly byKey: ReadonlyMap<ResourceKey, Held>;
-  /** All keys in order. */
+/** Resources by key, with derived values that would otherwise be recomputed for each version. */
+interface ResourceSet {
+  readonly byKey: ReadonlyMap<ResourceKey, ResourceEntry>;
+  /** All keys, sorted. */
   readonly keys: readonly ResourceKey[];
   readonly bytes: number;
 }
 
-/** Keys that come and go beyond which sorting all of them again is cheaper than finding their places. */
-const FEW_KEYS = 64;
+/**
+ * Maximum number of keys in a change that are inserted one by one; above it, sorting all keys is
+ * cheaper.
+ */
+const MAX_INCREMENTAL_KEYS = 64;
 
 /** An immutable set of resources at one version. */
 export class Configuration {
@@ -39,46 +42,53 @@
   private constructor(
     readonly number: number,
     readonly digest: string,
-    private readonly holding: Holding,
-    /** What was derived from an earlier version last: most of it still holds. */
+    private readonly resourceSet: ResourceSet,
+    /** Latest derived data of earlier versions, by name; most of it still applies to this one. */
     private readonly inherited: ReadonlyMap<symbol, unknown> = new Map(),
   ) {}
 
-  /** Holds nothing. */
+  /** The configuration without resources, version 0. */
   static get empty(): Configuration {
     return EMPTY;
   }
 
+  /** A configuration whose digest is given; `matches` checks it. */
   static of(number: number, digest: string, resources: Iterable<Resource>): Configuration {
-    return new Configuration(number, digest, hold(NOTHING, { put: [...resources], remove: [] }));
+    return new Configuration(
+      number,
+      digest,
+      applyChange(NO_RESOURCES, { put: [...resources], remove: [] }),
+    );
   }
 
   get size(): number {
-    return this.holding.keys.length;
+    return this.resourceSet.keys.length;
   }
 
-  /** Length of all resources as canonical JSON. */
+  /** Length of all resources as canonical JSON, in bytes. */
   get bytes(): number {
-    return this.holding.bytes;
+    return this.resourceSet.bytes;
   }
 
-  /** What was derived under that name from this version, or else from the last one that had it. */
+  /**
+   * Derived data under that name of this version, or else of the last earlier version that had it.
+   */
   earlier(name: symbol): unknown {
     return this.derived.get(name) ?? this.inherited.get(name);
   }
 
-  /** Keys of resources that are longer than `maxBytes`. */
+  /** Keys of resources that are longer than `maxBytes` as canonical JSON. */
   oversized(maxBytes: number): ResourceKey[] {
-    const { byKey } = this.holding;
+    const { byKey } = this.resourceSet;
     return [...byKey].filter(([, { bytes }]) => bytes > maxBytes).map(([key]) => key);
   }
 
   isOversized(key: ResourceKey, maxBytes: number): boolean {
-    return (this.holding.byKey.get(key)?.bytes ?? 0) > maxBytes;
+    return (this.resourceSet.byKey.get(key)?.bytes ?? 0) > maxBytes;
   }
 
   get(key: ResourceKey): Resource | undefined {
-    return this.holding.byKey.get(key)?.resource;
+    return this.resourceSet.byKey.get(key)?.resource;
   }
 
   /** The resource of that kind and name, typed by its kind. */
@@ -87,95 +97,98 @@
   }
 
   *all<K extends Kind>(kind: K): Generator<Extract<Resource, { kind: K }>> {
-    for (const { resource } of this.holding.byKey.values()) {
+    for (const { resource } of this.resourceSet.byKey.values()) {
       if (resource.kind === kind) yield resource as Extract<Resource, { kind: K }>;
     }
   }
 
   /** All resources in key order. */
   resources(): Resource[] {
-    return this.holding.keys.map((key) => this.get(key)!);
+    return this.resourceSet.keys.map((key) => this.get(key)!);
   }
 
-  /** The configuration after `change`, as the next version, with its digest worked out. */
+  /** Applies `change` and computes the digest, giving the next version. */
   next(change: Change): Configuration {
-    return this.#after(change, this.number + 1, this.digest);
+    return this.#withChange(change, this.number + 1, this.digest);
   }
 
-  /** The configuration after `change` as version `number`; its digest covers no parent. */
+  /** Applies `change`, giving version `number`; its digest covers no parent. */
   standalone(change: Change, number: number): Configuration {
-    return this.#after(change, number, GENESIS);
+    return this.#withChange(change, number, GENESIS);
   }
 
-  /** What turns this configuration into one of exactly `resources`. */
+  /** The change that turns this configuration into one of exactly `resources`. */
   changeTo(resources: readonly Resource[]): Change {
-    return this.#changeTo(resources, this.holding.keys);
+    return this.#changeFrom(resources, this.resourceSet.keys);
   }
 
-  /** Tells another process where its configuration differs. */
+  /** Summary from which another process can tell where its configuration differs. */
   get summary(): readonly number[] {
-    const held = [...this.holding.byKey.values()];
-    return summaryOf(held.map(({ contribution }) => contribution));
+    const entries = [...this.resourceSet.byKey.values()];
+    return summaryOf(entries.map(({ contribution }) => contribution));
   }
 
-  /** The resources in those buckets of the summary. */
-  within(buckets: readonly number[]): Resource[] {
-    return this.#keysWithin(buckets).map((key) => this.get(key)!);
+  /** The resources in these buckets of the summary, in key order. */
+  resourcesIn(buckets: readonly number[]): Resource[] {
+    return this.#keysIn(buckets).map((key) => this.get(key)!);
   }
 
-  /** Length of the resources in those buckets as canonical JSON. */
-  bytesWithin(buckets: readonly number[]): number {
-    const { byKey } = this.holding;
-    return this.#keysWithin(buckets).reduce((sum, key) => sum + byKey.get(key)!.bytes, 0);
+  /** Length of the resources in these buckets as canonical JSON, in bytes. */
+  bytesIn(buckets: readonly number[]): number {
+    const { byKey } = this.resourceSet;
+    return this.#keysIn(buckets).reduce((sum, key) => sum + byKey.get(key)!.bytes, 0);
   }
 
-  /** What turns this configuration into one that has exactly `resources` in those buckets. */
-  changeWithin(buckets: readonly number[], resources: readonly Resource[]): Change {
-    return this.#changeTo(resources, this.#keysWithin(buckets));
+  /**
+   * The change that turns this configuration into one that has exactly `resources` in these
+   * buckets.
+   */
+  changeIn(buckets: readonly number[], resources: readonly Resource[]): Change {
+    return this.#changeFrom(resources, this.#keysIn(buckets));
   }
 
-  /** Whether the resources are those that the digest was worked out over. */
+  /** Whether the digest matches the resources, given the digest of the parent. */
   matches(parent: string): boolean {
-    return chain(this.number, parent, stateDigest(this.holding)) === this.digest;
+    return versionDigest(this.number, parent, stateDigest(this.resourceSet)) === this.digest;
   }
 
-  /** Digest over the resources alone, whatever the version. */
-  get state(): string {
-    return stateDigest(this.holding);
+  /** Digest over the resources alone, independent of the version. */
+  get stateDigest(): string {
+    return stateDigest(this.resourceSet);
   }
 
-  #keysWithin(buckets: readonly number[]): ResourceKey[] {
+  #keysIn(buckets: readonly number[]): ResourceKey[] {
     const wanted = new Set(buckets);
-    const { byKey, keys } = this.holding;
+    const { byKey, keys } = this.resourceSet;
     return keys.filter((key) => wanted.has(byKey.get(key)!.contribution.bucket));
   }
 
-  /** Puts `resources` in the place of what `keys` name. */
-  #changeTo(resources: readonly Resource[], keys: readonly ResourceKey[]): Change {
+  /** The change that replaces the resources under `keys` by `resources`. */
+  #changeFrom(resources: readonly Resource[], keys: readonly ResourceKey[]): Change {
     const wanted = new Set(resources.map(resourceKey));
     const put = resources.filter((resource) => {
-      const held = this.holding.byKey.get(resourceKey(resource));
-      return held?.resource !== resource && held?.digest !== heldOf(resource).digest;
+      const held = this.resourceSet.byKey.get(resourceKey(resource));
+      return held?.resource !== resource && held?.digest !== entryOf(resource).digest;
     });
     return { put, remove: keys.filter((key) => !wanted.has(key)) };
   }
 
-  #after(change: Change, number: number, parent: string): Configuration {
-    const holding = hold(this.holding, change);
+  #withChange(change: Change, number: number, parent: string): Configuration {
+    const resourceSet = applyChange(this.resourceSet, change);
     const inherited = new Map([...this.inherited, ...this.derived]);
-    const digest = chain(number, parent, stateDigest(holding));
-    return new Configuration(number, digest, holding, inherited);
+    const digest = versionDigest(number, parent, stateDigest(resourceSet));
+    return new Configuration(number, digest, resourceSet, inherited);
   }
 }
 
 /**
- * Below the class: some compilers put an alias for its name into it that is not set yet when its
- * static fields are, and the program would end as it starts.
+ * These constants stand below the class because some compilers alias the class name within the
+ * class; in static fields the alias is not set yet, and the program would fail on start.
  */
-const NOTHING: Holding = { byKey: new Map(), keys: [], bytes: 0 };
+const NO_RESOURCES: ResourceSet = { byKey: new Map(), keys: [], bytes: 0 };
 const EMPTY = Configuration.of(0, GENESIS, []);
 
-function hold(before: Holding, { put, remove }: Change): Holding {
+function applyChange(before: ResourceSet, { put, remove }: Change): ResourceSet {
   const byKey = new Map(before.byKey);
   let { bytes } = before;
   for (const key of remove) {
@@ -184,54 +197,59 @@
   }
   for (const resource of put) {
     const key = resourceKey(resource);
-    const held = heldOf(resource);
-    bytes += held.bytes - (byKey.get(key)?.bytes ?? 0);
-    byKey.set(key, held);
+    const entry = entryOf(resource);
+    bytes += entry.bytes - (byKey.get(key)?.bytes ?? 0);
+    byKey.set(key, entry);
   }
   return { byKey, keys: sortedKeys(before, byKey, { put, remove }), bytes };
 }
 
-/** A version changes few of thousands of keys: sorting them all again would be most of its cost. */
+/**
+ * Inserts and removes single keys if the change is small: a version changes few of thousands of
+ * keys, and sorting all of them would be most of its cost.
+ */
 function sortedKeys(
-  before: Holding,
-  byKey: ReadonlyMap<ResourceKey, Held>,
+  before: ResourceSet,
+  byKey: ReadonlyMap<ResourceKey, ResourceEntry>,
   { put, remove }: Change,
 ): readonly ResourceKey[] {
-  if (put.length + remove.length > FEW_KEYS) return [...byKey.keys()].sort();
+  if (put.length + remove.length > MAX_INCREMENTAL_KEYS) return [...byKey.keys()].sort();
   const isKept = byKey.size >= before.keys.length && remove.every((key) => byKey.has(key));
   const keys = isKept ? [...before.keys] : before.keys.filter((key) => byKey.has(key));
   for (const resource of put) {
     const key = resourceKey(resource);
-    const place = firstIndex(keys.length, (index) => keys[index]! >= key);
-    if (keys[place] !== key) keys.splice(place, 0, key);
+    const position = firstIndex(keys.length, (index) => keys[index]! >= key);
+    if (keys[position] !== key) keys.splice(position, 0, key);
   }
   return keys;
 }
 
 /**
- * Resources never change, and a version is worked out several times on its way into force: each
- * digest is worked out once.
+ * Entries by resource. Resources are immutable, and a version is computed several times before it
+ * is applied; the cache makes each resource hashed only once.
  */
-const HELD = new WeakMap<Resource, Held>();
+const ENTRIES = new WeakMap<Resource, ResourceEntry>();
 
-function heldOf(resource: Resource): Held {
-  let held = HELD.get(resource);
-  if (!held) {
+function entryOf(resource: Resource): ResourceEntry {
+  let entry = ENTRIES.get(resource);
+  if (!entry) {
     const text = canonical(resource);
     const digest = sha256(text);
-    const line = `${resourceKey(resource)}=${digest}\n`;
+    const digestLine = `${resourceKey(resource)}=${digest}\n`;
     const contribution = contributionOf(resourceKey(resource), digest);
-    held = { resource, digest, bytes: Buffer.byteLength(text), line, contribution };
-    HELD.set(resource, held);
+    entry = { resource, digest, bytes: Buffer.byteLength(text), digestLine, contribution };
+    ENTRIES.set(resource, entry);
   }
-  return held;
+  return entry;
 }
 
-function chain(number: number, parent: string, state: string): string {
+function versionDigest(number: number, parent: string, state: string): string {
   return digestOf({ number, parent, state });
 }
 
-/** All at once: each update of a hash costs as much as some hundred bytes of it. */
-function stateDigest({ byKey, keys }: Holding): string {
-  return sha256(keys.map((key) => byKey.get(key)!.line).join(''));
+/**
+ * Hashes all lines in one call: each update of a hash costs as much as hashing some hundred bytes.
+ */
+function stateDigest({ byKey, keys }: ResourceSet): string {
+  return sha256(keys.map((key) => byKey.get(key)!.digestLine).join(''));
 }
--- a/src/configuration/summary.ts
+++ b/src/configuration/summary.ts
@@ -1,28 +1,33 @@
-/** A few numbers that tell where two configurations differ, whatever versions they are. */
+/**
+ * Summaries of configurations: hashes per bucket that show where two configurations differ,
+ * whatever their versions.
+ */
 import { type ResourceKey } from '../contracts.js';
 import { fnv1a } from '../runtime/hash.js';
 
-/** Parts into which resources are divided; a difference costs the parts that it touches. */
+/** Number of buckets; a difference includes all resources of each bucket that differs. */
 export const BUCKETS = 128;
-const MARK_DIGITS = 8;
+const HASH_DIGITS = 8;
 const HEXADECIMAL = 16;
 
-/** What a resource contributes: its bucket, and a mark that changes with its content. */
+/**
+ * Contribution of a resource to a summary: its bucket, and a hash that changes with its content.
+ */
 export interface Contribution {
   readonly bucket: number;
-  readonly mark: number;
+  readonly hash: number;
 }
 
 export function contributionOf(key: ResourceKey, digest: string): Contribution {
-  const mark = Number.parseInt(digest.slice(0, MARK_DIGITS), HEXADECIMAL);
-  return { bucket: (fnv1a(key) >>> 0) % BUCKETS, mark };
+  const hash = Number.parseInt(digest.slice(0, HASH_DIGITS), HEXADECIMAL);
+  return { bucket: (fnv1a(key) >>> 0) % BUCKETS, hash };
 }
 
-/** The marks of each bucket together, the same whatever their order. */
+/** Combines the hashes of each bucket by XOR, independently of their order. */
 export function summaryOf(contributions: Iterable<Contribution>): number[] {
-  const marks = Array.from({ length: BUCKETS }, () => 0);
-  for (const { bucket, mark } of contributions) marks[bucket] = marks[bucket]! ^ mark;
-  return marks;
+  const hashes = Array.from({ length: BUCKETS }, () => 0);
+  for (const { bucket, hash } of contributions) hashes[bucket] = hashes[bucket]! ^ hash;
+  return hashes;
 }
 
 /** The buckets in which two summaries differ. */
--- a/src/configuration/validate.ts
+++ b/src/configuration/validate.ts
@@ -1,4 +1,4 @@
-/** The checks a configuration must pass: in the tool, at acceptance and at every proxy. */
+/** Checks that a configuration must pass: in the tool, at acceptance and at every proxy. */
 import {
   type Change,
   type Problem,
@@ -11,129 +11,138 @@
 
 export type { Problem };
 
-/** Most resources of a configuration that proxies are sized for. */
+/** Maximum number of resources that proxies are sized for. */
 export const MAX_RESOURCES = 20_000;
 
-/** Longest resource, in bytes of canonical JSON: far below what one stored value may hold. */
+/**
+ * Maximum size of a resource, in bytes of canonical JSON; far below the limit of a stored value.
+ */
 export const MAX_RESOURCE_BYTES = 32_000;
 
-/** Longest configuration, in bytes of canonical JSON, that proxies have the memory for. */
+/**
+ * Maximum size of a configuration, in bytes of canonical JSON, that fits into the memory of
+ * proxies.
+ */
 export const MAX_CONFIGURATION_BYTES = 8_000_000;
 
-/** Resources put by one change up to which they are looked at by themselves. */
-const FEW_RESOURCES = 64;
+/** Maximum number of resources in a change that is checked incrementally. */
+const MAX_INCREMENTAL_RESOURCES = 64;
 
-/** Every problem of the configuration; an empty list means it may be put in force. */
+/** Returns all problems of the configuration; it may only be applied if there are none. */
 export function validate(configuration: Configuration): Problem[] {
-  const problems = oversizes(configuration);
+  const problems = oversizeProblems(configuration);
   const everywhere = [...configuration.all('rule')].filter((rule) => rule.everywhere);
   for (const route of configuration.all('route')) {
     problems.push(
       ...danglingReferences(configuration, route),
-      ...brokenRules(configuration, route, everywhere),
+      ...ruleProblems(configuration, route, everywhere),
     );
   }
   return problems;
 }
 
 /**
- * The same for what `change` has made of a configuration without problems. Where it touches nothing
- * that other routes depend on, only what it puts is looked at: it costs its change, not the whole.
+ * Returns the problems of a configuration that results from applying `change` to one without
+ * problems. If the change touches nothing that other routes depend on, only the resources that it
+ * puts are checked, so that the cost depends on the size of the change and not of the
+ * configuration.
  */
 export function validateChange(configuration: Configuration, change: Change): Problem[] {
   const isLocal =
     change.put.every(({ kind }) => kind === 'route' || kind === 'upstream') &&
     change.remove.every((key) => key.startsWith('route/'));
-  const isSmall = change.put.length <= FEW_RESOURCES;
+  const isSmall = change.put.length <= MAX_INCREMENTAL_RESOURCES;
   if (!isLocal || !isSmall) return validate(configuration);
   const everywhere = [...configuration.all('rule')].filter((rule) => rule.everywhere);
-  const problems = exceeded(configuration);
+  const problems = limitProblems(configuration);
   for (const resource of change.put) {
-    problems.push(...problemsOf(configuration, resource, everywhere));
+    problems.push(...resourceProblems(configuration, resource, everywhere));
   }
   return problems;
 }
 
-function problemsOf(
+function resourceProblems(
   configuration: Configuration,
   resource: Resource,
   everywhere: readonly Rule[],
 ): Problem[] {
   const problems: Problem[] = [];
   const path = resourceKey(resource);
-  // Of two of the same name in one change, the later is held.
+  // If a change puts two resources of the same name, the later one is kept.
   if (configuration.get(path) !== resource) return problems;
-  if (configuration.isOversized(path, MAX_RESOURCE_BYTES)) problems.push(oversize(path));
+  if (configuration.isOversized(path, MAX_RESOURCE_BYTES)) problems.push(oversizeProblem(path));
   if (resource.kind !== 'route') return problems;
   return problems.concat(
     danglingReferences(configuration, resource),
-    brokenRules(configuration, resource, everywhere),
+    ruleProblems(configuration, resource, everywhere),
   );
 }
 
-function oversizes(configuration: Configuration): Problem[] {
-  const oversized = configuration.oversized(MAX_RESOURCE_BYTES).map(oversize);
-  return [...oversized, ...exceeded(configuration)];
+function oversizeProblems(configuration: Configuration): Problem[] {
+  const oversized = configuration.oversized(MAX_RESOURCE_BYTES).map(oversizeProblem);
+  return [...oversized, ...limitProblems(configuration)];
 }
 
-function oversize(path: string): Problem {
+function oversizeProblem(path: string): Problem {
   return { path, message: `is longer than the ${MAX_RESOURCE_BYTES} bytes allowed` };
 }
 
-function exceeded({ size, bytes }: Configuration): Problem[] {
+function limitProblems({ size, bytes }: Configuration): Problem[] {
   const problems: Problem[] = [];
-  const exceeds = (amount: number, unit: string, most: number) => {
-    if (amount <= most) return;
-    const message = `holds ${amount} ${unit}, at most ${most} are allowed`;
+  const check = (amount: number, unit: string, limit: number) => {
+    if (amount <= limit) return;
+    const message = `holds ${amount} ${unit}, at most ${limit} are allowed`;
     problems.push({ path: 'configuration', message });
   };
-  exceeds(size, 'resources', MAX_RESOURCES);
-  exceeds(bytes, 'bytes', MAX_CONFIGURATION_BYTES);
+  check(size, 'resources', MAX_RESOURCES);
+  check(bytes, 'bytes', MAX_CONFIGURATION_BYTES);
   return problems;
 }
 
 function danglingReferences(configuration: Configuration, route: Route): Problem[] {
   const problems: Problem[] = [];
-  const expect = (field: string, key: string) => {
+  const requireResource = (field: string, key: string) => {
     if (configuration.get(key)) return;
     problems.push({
       path: `route/${route.name}.${field}`,
       message: `${key} is not held in the same version`,
     });
   };
-  expect('upstream', `upstream/${route.upstream}`);
-  route.split?.forEach(({ upstream }, index) => expect(`split.${index}`, `upstream/${upstream}`));
-  if (route.limit) expect('limit', `limit/${route.limit}`);
-  route.rules.forEach((rule, index) => expect(`rules.${index}`, `rule/${rule}`));
+  requireResource('upstream', `upstream/${route.upstream}`);
+  route.split?.forEach(({ upstream }, index) =>
+    requireResource(`split.${index}`, `upstream/${upstream}`),
+  );
+  if (route.limit) requireResource('limit', `limit/${route.limit}`);
+  route.rules.forEach((rule, index) => requireResource(`rules.${index}`, `rule/${rule}`));
   return problems;
 }
 
-function brokenRules(
+function ruleProblems(
   configuration: Configuration,
   route: Route,
   everywhere: readonly Rule[],
 ): Problem[] {
   const listed = route.rules.map((name) => configuration.find('rule', name));
   const rules = new Set([...everywhere, ...listed.filter((rule) => rule !== undefined)]);
-  return [...rules].flatMap((rule) => breaches(route, rule));
+  return [...rules].flatMap((rule) => ruleViolations(route, rule));
 }
 
-function breaches(route: Route, rule: Rule): Problem[] {
+function ruleViolations(route: Route, rule: Rule): Problem[] {
   const problems: Problem[] = [];
-  const breach = (field: string, message: string) =>
+  const add = (field: string, message: string) =>
     problems.push({
       path: `route/${route.name}.${field}`,
       message: `rule ${rule.name}: ${message}`,
     });
-  if (rule.requireLimit && !route.limit) breach('limit', 'the route must name a limit');
+  if (rule.requireLimit && !route.limit) add('limit', 'the route must name a limit');
   if (rule.maxTimeoutMs !== undefined && route.timeoutMs > rule.maxTimeoutMs) {
-    breach('timeoutMs', `must be at most ${rule.maxTimeoutMs}`);
+    add('timeoutMs', `must be at most ${rule.maxTimeoutMs} ms, is ${route.timeoutMs} ms`);
   }
   if (rule.requireNotRepeatable && route.repeatable !== false) {
-    breach('repeatable', 'the route must be marked repeatable: false');
+    add('repeatable', 'the route must set repeatable: false');
   }
   if (rule.requireKey && !route.requireKey) {
-    breach('requireKey', 'the route must insist on an Idempotency-Key');
+    add('requireKey', 'the route must require an Idempotency-Key');
   }
   return problems;
 }
--- a/src/distribution/relay.ts
+++ b/src/distribution/relay.ts
@@ -71,8 +71,8 @@
   #differenceTo(summary: readonly number[]): Difference | undefined {
     const { current } = this.replica;
     const buckets = differingBuckets(summary, current.summary);
-    if (current.bytesWithin(buckets) > MAX_CHANGE_BYTES) return undefined;
-    const resources = current.within(buckets);
+    if (current.bytesIn(buckets) > MAX_CHANGE_BYTES) return undefined;
+    const resources = current.resourcesIn(buckets);
     const { number, digest } = current;
     const { parent } = this.replica;
     return { number, digest, parent, buckets, resources };
--- a/src/distribution/replica.ts
+++ b/src/distribution/replica.ts
@@ -149,7 +149,7 @@
       this.onServedOlder(number);
       return true;
     }
-    const change = this.#current.changeWithin(buckets, resources);
+    const change = this.#current.changeIn(buckets, resources);
     if (parent !== GENESIS) {
       const merged = this.#current.standalone(change, number).resources();
       return this.install({ number, digest, parent, resources: merged }, 'difference');
--- a/src/test/configuration/configuration_test.ts
+++ b/src/test/configuration/configuration_test.ts
@@ -31,7 +31,7 @@
     expect(one.digest).toMatchSnapshot();
   });
 
-  it('notices a resource that differs from the digested one', () => {
+  it('detects a resource that does not match the digest', () => {
     const one = Configuration.empty.next({ put: [listings, menus], remove: [] });
     const forged = Configuration.of(1, one.digest, [listings, { ...menus, timeoutMs: 1 }]);
     expect(one.matches(Configuration.empty.digest)).to.equal(true);
@@ -65,21 +65,21 @@
   remove: fc.array(resource.map(resourceKey), { maxLength: 2 }),
 });
 
-describe('a configuration that is worked out from the one before', () => {
+describe('a configuration computed from the previous one', () => {
   const history = fc.array(change, { minLength: 1, maxLength: 12 });
 
-  // Guards against a version that is cheap to work out being another one than what was accepted.
-  it('is the same as one that is worked out anew', () => {
+  // Guards against an incremental computation whose result differs from the accepted version.
+  it('equals one that is computed from scratch', () => {
     fc.assert(
       fc.property(history, (changes) => {
         let held = Configuration.empty;
         for (const next of changes) {
           held = held.next(next);
-          const anew = Configuration.of(held.number, held.digest, held.resources());
+          const rebuilt = Configuration.of(held.number, held.digest, held.resources());
           const keys = held.resources().map(resourceKey);
           expect(keys).to.deep.equal([...keys].sort());
-          expect([anew.state, anew.bytes, anew.size]).to.deep.equal([
-            held.state,
+          expect([rebuilt.stateDigest, rebuilt.bytes, rebuilt.size]).to.deep.equal([
+            held.stateDigest,
             held.bytes,
             held.size,
           ]);
@@ -89,8 +89,8 @@
     );
   });
 
-  // Guards against a version being put in force that a look at all of it would refuse, or the reverse.
-  it('has the same problems as one that is looked at whole', () => {
+  // Guards against an incremental validation that accepts what a full one refuses, or the reverse.
+  it('has problems if and only if a full validation finds some', () => {
     fc.assert(
       fc.property(history, (changes) => {
         let held = Configuration.empty;
@@ -114,7 +114,7 @@
     expect(validate(configuration)).toMatchSnapshot();
   });
 
-  it("holds routes to the insurer's rules", () => {
+  it("checks routes against the insurer's rules", () => {
     const rule = Rule.parse({
       kind: 'rule',
       name: 'bookings-once',
--- a/src/test/distribution/distributor_test.ts
+++ b/src/test/distribution/distributor_test.ts
@@ -32,7 +32,7 @@
     expect(root!.isAlive).to.equal(false);
   });
 
-  // Guards against a subtree that misses a version because its inner died before it pushed. The
+  // Guards against a subtree that misses a version because its parent died before it pushed. The
   // children have to learn of the version from their ring neighbours, and pull it.
   it('delivers a version to the children of a process that dies during the push', async () => {
     await using fleet = await TestFleet.start({ sizes: SIZES });
--- a/src/test/distribution/replica_test.ts
+++ b/src/test/distribution/replica_test.ts
@@ -75,7 +75,13 @@
       const { current, parent } = ahead;
       const buckets = differingBuckets(behind.current.summary, current.summary);
       const { number, digest } = current;
-      const difference = { number, digest, parent, buckets, resources: current.within(buckets) };
+      const difference = {
+        number,
+        digest,
+        parent,
+        buckets,
+        resources: current.resourcesIn(buckets),
+      };
       expect(behind.applyDifference(difference, 0)).to.equal(true);
       expect(behind.current.digest).to.equal(digest);
       expect(behind.since(24)?.length).to.equal(1);
