--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -52,7 +52,7 @@
     return EMPTY;
   }
 
-  /** A configuration whose digest is given; `matches` checks it. */
+  /** A configuration whose digest is given; `matchesDigest` checks it. */
   static of(number: number, digest: string, resources: Iterable<Resource>): Configuration {
     return new Configuration(
       number,
--- a/src/distribution/confirmation.ts
+++ b/src/distribution/confirmation.ts
@@ -39,7 +39,7 @@
     methods: Methods,
   ) {
     methods.on(CONFIRM, async (_, { withinMs }) => ({
-      head: await this.confirm(clock.now() + withinMs),
+      head: await this.lookUp(clock.now() + withinMs),
     }));
   }
 
@@ -48,7 +48,7 @@
    * can have held a later version before the call. Rejects if no reader reaches the platform before
    * the deadline.
    */
-  confirm(deadline: number): Promise<number> {
+  lookUp(deadline: number): Promise<number> {
     this.#nextRound ??= this.#startRound(deadline);
     return this.#nextRound;
   }
@@ -68,7 +68,7 @@
     if (!isReader) return this.#askAny(parent ? [this.mesh.peer(parent.instance)] : [], deadline);
     try {
       const halfMs = (deadline - this.clock.now()) / 2;
-      return await this.reader.confirm(this.clock.now() + halfMs);
+      return await this.reader.readHead(this.clock.now() + halfMs);
     } catch {
       return this.#askAny(this.#remotePeers(), deadline);
     }
--- a/src/distribution/puller.ts
+++ b/src/distribution/puller.ts
@@ -64,7 +64,7 @@
     this.#isRunning = false;
   }
 
-  /** Pulls from one more peer, or waits until a peer may be asked. */
+  /** Pulls from one more peer, or waits until a pull may start. */
   async #step(): Promise<void> {
     const now = this.clock.now();
     const idle = this.#peersAhead().filter((peer) => !this.#pullsInFlight.has(peer));
--- a/src/distribution/reader.ts
+++ b/src/distribution/reader.ts
@@ -59,7 +59,7 @@
    * Reads the source up to its head, starting after this call; resolves to the version then
    * current. If later versions exist, they were refused here, and so are refused by every process.
    */
-  async confirm(deadline: number): Promise<number> {
+  async readHead(deadline: number): Promise<number> {
     await this.feed.catchUp(deadline);
     return this.replica.current.number;
   }
--- a/src/distribution/readiness.ts
+++ b/src/distribution/readiness.ts
@@ -30,7 +30,7 @@
     private readonly self: Member,
     private readonly replica: Replica,
     private readonly reader: Reader,
-    private readonly confirmation: Confirmation,
+    private readonly headLookup: Confirmation,
     private readonly mesh: Mesh,
     private readonly ranking: Ranking,
     private readonly clock: Clock,
@@ -67,7 +67,7 @@
     const remembered = await this.#recall();
     if (remembered !== undefined) return remembered;
     try {
-      return await this.confirmation.confirm(this.clock.now() + CONFIRM_TIMEOUT_MS);
+      return await this.headLookup.lookUp(this.clock.now() + CONFIRM_TIMEOUT_MS);
     } catch {
       return undefined;
     }
--- a/src/test/distribution/properties_test.ts
+++ b/src/test/distribution/properties_test.ts
@@ -89,7 +89,8 @@
       accepted?.digest === digest &&
       canonical(accepted.resources()) === canonical(replica.current.resources());
     if (!isSame) this.violations.push(`version ${number} is not the accepted one`);
-    if (validate(replica.current).length > 0) this.violations.push(`version ${number} dangles`);
+    if (validate(replica.current).length > 0)
+      this.violations.push(`version ${number} has dangling references`);
   }
 }
 
--- a/src/test/distribution/readiness_test.ts
+++ b/src/test/distribution/readiness_test.ts
@@ -113,9 +113,9 @@
       fleet.network.cut('chaguanas', lost);
       const all = fleet.ranked('chaguanas');
       all.forEach(({ name }) => fleet.kill(name));
-      const anew = all.map(({ name }) => fleet.launch(name, 'chaguanas'));
-      expect(await fleet.time.until(() => anew.every(isReady), 15_000)).to.equal(true);
-      expect(anew.map(held)).to.deep.equal([1, 1, 1]);
+      const restarted = all.map(({ name }) => fleet.launch(name, 'chaguanas'));
+      expect(await fleet.time.until(() => restarted.every(isReady), 15_000)).to.equal(true);
+      expect(restarted.map(held)).to.deep.equal([1, 1, 1]);
     }
   });
 });
