--- a/src/distribution/mesh.ts
+++ b/src/distribution/mesh.ts
@@ -70,7 +70,7 @@
     return this.#openPeers.size;
   }
 
-  /** Number of links rejected by the rate limit. */
+  /** Number of links rejected by the rate limit, or while stopping. */
   get linksRejected(): number {
     return this.#linksRejected;
   }
--- a/src/distribution/surveyor.ts
+++ b/src/distribution/surveyor.ts
@@ -10,8 +10,8 @@
 import { mergeSurveys, surveyProcess, unknownSurvey } from './survey.js';
 
 /**
- * Share of the remaining time that each level gives to the level below, so that it can answer in
- * time.
+ * Share of the remaining time that each level of the tree gives to the level below; the rest is
+ * kept for its own answer.
  */
 const LEVEL_SHARE = 0.8;
 /** Timeout of one attempt to have the root run a survey, in milliseconds. */
