--- a/src/claims/claim_range.ts
+++ b/src/claims/claim_range.ts
@@ -1,34 +1,34 @@
-/** One range of claims: gathers what is asked of it and writes it as one conditional update. */
+/** One range of claims: writes batches of operations as one conditional update each. */
 import { type Claim, ClaimPage, OutcomeError } from '../contracts.js';
 import { MAX_VALUE_BYTES, type Platform, type Stored } from '../platform/platform.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { unsettled } from './claim_store.js';
+import { unavailableError } from './claim_store.js';
 
 type Claims = Record<string, Claim>;
 
-/** Something asked of the range, until it is answered. */
+/** A pending operation on the range. */
 interface Operation {
   readonly id: string;
   readonly deadline: number;
-  /** Changes `claims` if it has to; a second time changes nothing. Tells whether it did. */
+  /** Applies the operation to `claims`; idempotent. Returns whether `claims` changed. */
   readonly apply: (claims: Claims) => boolean;
-  readonly done: (claims: Claims) => void;
+  readonly succeed: (claims: Claims) => void;
   readonly fail: (error: OutcomeError) => void;
 }
 
-/** Cap of the jittered wait after a conflict or a failure, in milliseconds. */
+/** Upper bound of the jittered wait after a conflict or a failure, in milliseconds. */
 const RETRY_CAP_MS = 20;
-/** Beyond this the page is full and takes no further claims, in bytes. */
+/** Largest page that is written, in bytes; claims that would exceed it are refused. */
 const MAX_PAGE_BYTES = MAX_VALUE_BYTES * 0.9;
 
 export class ClaimRange {
-  #waiting: Operation[] = [];
+  #pending: Operation[] = [];
 
   #isFlushing = false;
 
-  /** The page as last seen, or undefined when it may have changed since. */
-  #seen: Stored | undefined;
+  /** The page as last read or written; undefined when it may have changed since. */
+  #cachedPage: Stored | undefined;
 
   constructor(
     private readonly key: string,
@@ -74,29 +74,29 @@
   ): Promise<T> {
     return new Promise((resolve, reject) => {
       const done = (claims: Claims) => resolve(result(claims));
-      this.#waiting.push({ id, deadline, apply, done, fail: reject });
+      this.#pending.push({ id, deadline, apply, succeed: done, fail: reject });
       if (!this.#isFlushing) void this.#flush();
     });
   }
 
-  /** Writes batch after batch while there is something to write. */
+  /** Writes one batch after another until no operation is pending. */
   async #flush(): Promise<void> {
     this.#isFlushing = true;
     await this.clock.sleepUntil(this.clock.now() + this.windowMs);
-    while (this.#waiting.length > 0) {
-      const batch = this.#waiting;
-      this.#waiting = [];
+    while (this.#pending.length > 0) {
+      const batch = this.#pending;
+      this.#pending = [];
       await this.#write(batch);
     }
     this.#isFlushing = false;
   }
 
-  /** Tries until the batch is written, or all who asked have no time left. */
+  /** Retries until the batch is written or the deadlines of all its operations have passed. */
   async #write(batch: Operation[]): Promise<void> {
     let inDoubt = false;
     for (let left = batch; left.length > 0;) {
       const now = this.clock.now();
-      for (const { deadline, fail } of left) if (deadline <= now) fail(unsettled(inDoubt));
+      for (const { deadline, fail } of left) if (deadline <= now) fail(unavailableError(inDoubt));
       left = left.filter(({ deadline }) => deadline > now);
       if (left.length === 0) return;
       try {
@@ -105,34 +105,35 @@
         if (!(error instanceof OutcomeError)) throw error;
         inDoubt ||= error.verdict !== 'not-run';
       }
-      this.#seen = undefined;
+      this.#cachedPage = undefined;
       await this.clock.sleepUntil(this.clock.now() + this.random.jitter(RETRY_CAP_MS));
     }
   }
 
-  /** One read, unless the page is known, and one conditional write; false after a conflict. */
+  /** One read, unless the page is cached, and one conditional write; false after a conflict. */
   async #attempt(batch: readonly Operation[]): Promise<boolean> {
     const deadline = Math.max(...batch.map((operation) => operation.deadline));
-    const isFresh = this.#seen === undefined;
-    const stored = this.#seen ?? (await this.platform.get(this.key, deadline));
+    const isFresh = this.#cachedPage === undefined;
+    const stored = this.#cachedPage ?? (await this.platform.get(this.key, deadline));
     const claims = stored ? this.#unexpired(stored) : {};
-    // Evaluated for all: each operation has to be applied, not just the first that changes.
+    // Every operation has to be applied, so this cannot stop at the first that changes the page.
     const changed = batch.filter(({ apply }) => apply(claims));
     if (changed.length === 0) return this.#answerUnchanged(batch, claims, stored, isFresh);
     const value = JSON.stringify({ claims } satisfies ClaimPage);
-    if (Buffer.byteLength(value) > MAX_PAGE_BYTES) throw full();
+    if (Buffer.byteLength(value) > MAX_PAGE_BYTES) throw pageFullError();
     const written = stored
       ? await this.platform.update(this.key, value, stored.revision, deadline)
       : await this.platform.create(this.key, value, deadline);
     if (!written) return false;
-    this.#seen = written;
-    for (const { done } of batch) done(claims);
+    this.#cachedPage = written;
+    for (const { succeed: done } of batch) done(claims);
     return true;
   }
 
   /**
-   * Nothing to write. A page from memory may be out of date: a claim it shows may have been
-   * released, and its caller would be refused for nothing. So that answer is given from a read.
+   * Answers a batch that changes nothing. A cached page may be out of date: it may show a claim
+   * that has been released, and the caller would be refused without need. So this answers from a
+   * page that was just read, and otherwise returns false to have it read.
    */
   #answerUnchanged(
     batch: readonly Operation[],
@@ -141,12 +142,12 @@
     isFresh: boolean,
   ): boolean {
     if (!isFresh) return false;
-    this.#seen = stored;
-    for (const { done } of batch) done(claims);
+    this.#cachedPage = stored;
+    for (const { succeed: done } of batch) done(claims);
     return true;
   }
 
-  /** The claims that still stand; the next write leaves out the others, so no sweep is needed. */
+  /** The unexpired claims. The next write drops the others, so ranges need no sweep. */
   #unexpired({ value }: Stored): Claims {
     const now = this.clock.now();
     const { claims } = ClaimPage.parse(JSON.parse(value));
@@ -154,7 +155,7 @@
   }
 }
 
-function full(): OutcomeError {
+function pageFullError(): OutcomeError {
   const props = { verdict: 'not-run', reason: 'store-unavailable' } as const;
-  return new OutcomeError('the page of claims is full', props);
+  return new OutcomeError(`page of claims is full: the limit is ${MAX_PAGE_BYTES} bytes`, props);
 }
--- a/src/claims/claim_store.ts
+++ b/src/claims/claim_store.ts
@@ -1,25 +1,25 @@
-/** Where claims lie: a single claim per object, or those of a key range gathered. */
+/** Storage of claims: one object per claim, or one object per key range. */
 import { type Claim, OutcomeError } from '../contracts.js';
 
 /**
- * Every call settles lost answers by reading back and comparing nonces. It throws an
- * `OutcomeError` when the platform gave no certain answer by the deadline (milliseconds since the
- * epoch): `not-run` if nothing took effect, `may-have-run` if something may have.
+ * When the answer to a write is lost, each method reads the claim back and compares nonces. It
+ * throws an `OutcomeError` when the platform gave no definite answer by the deadline (milliseconds
+ * since the epoch): `not-run` if nothing took effect, `may-have-run` if something may have.
  */
 export abstract class ClaimStore {
-  /** Puts the claim there if there is none; resolves to the one that is there now. */
+  /** Creates the claim if there is none; resolves to the claim that is stored now. */
   abstract acquire(id: string, claim: Claim, deadline: number): Promise<Claim>;
 
-  /** Replaces the claim that has the same nonce, to record its outcome. */
+  /** Records the outcome: replaces the stored claim if it has the same nonce. */
   abstract settle(id: string, claim: Claim, deadline: number): Promise<void>;
 
-  /** Removes the claim with that nonce; one with another nonce stays. */
+  /** Removes the claim if it has this nonce. */
   abstract release(id: string, nonce: string, deadline: number): Promise<void>;
 }
 
-/** The error of a call that the platform did not answer for certain by its deadline. */
-export function unsettled(inDoubt: boolean): OutcomeError {
-  return new OutcomeError('no certain answer from the platform', {
+/** The error of an operation that got no definite answer, or was refused before it was sent. */
+export function unavailableError(inDoubt: boolean): OutcomeError {
+  return new OutcomeError('the claim store is unavailable or gave no definite answer', {
     verdict: inDoubt ? 'may-have-run' : 'not-run',
     reason: 'store-unavailable',
   });
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -1,50 +1,50 @@
-/** At most once: decides whether a request with an `Idempotency-Key` runs, and answers repeats. */
+/** At-most-once execution: decides whether a request with an `Idempotency-Key` may run. */
 import { createHash } from 'node:crypto';
 import { type Claim, type Outcome, OutcomeError } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { type ClaimStore } from './claim_store.js';
-import { ClaimWrites } from './claim_writes.js';
+import { ClaimWriter } from './claim_writes.js';
 import { HeldClaim } from './held_claim.js';
 import { StoreWindow } from './store_window.js';
 
-/** A request with a key, as far as claims need it. */
+/** The parts of a request with an idempotency key that claims depend on. */
 export interface KeyedRequest {
   readonly route: string;
   readonly key: string;
   /** Digest over method, path and body. */
   readonly fingerprint: string;
-  /** Instant by which it must be answered, in milliseconds since the epoch. */
+  /** Time by which the request must be answered, in milliseconds since the epoch. */
   readonly deadline: number;
 }
 
-/** Either the right to run the request, or how it ended the first time. */
+/** Either the right to run the request, or the outcome of its first run. */
 export type Admission =
   | { readonly kind: 'run'; readonly claim: HeldClaim }
   | { readonly kind: 'replay'; readonly outcome: Outcome };
 
-/** How long claims are kept, and with them the promise of at most one run, in milliseconds. */
-export const KEEP_MS = 3_600_000;
-/** How long a claim may take to be created; a caller is better told to come back. */
-const ACQUIRE_MS = 1_000;
+/** How long claims are kept, and so how long at-most-once execution holds, in milliseconds. */
+export const RETENTION_MS = 3_600_000;
+/** Timeout for creating a claim, in milliseconds; better to have the caller retry than wait. */
+const ACQUIRE_TIMEOUT_MS = 1_000;
 /** How long a request waits for the release of a claim, in milliseconds. */
 const RELEASE_WAIT_MS = 250;
-/** When to come back after the store failed, or while the first request runs, in milliseconds. */
+/** Retry delay after the store failed, or while the first request runs, in milliseconds. */
 const RETRY_AFTER_MS = 1_000;
-/** When to come back if the first request's end is not known, in milliseconds. */
+/** Retry delay if the outcome of the first request is unknown, in milliseconds. */
 const UNKNOWN_RETRY_AFTER_MS = 30_000;
-/** Claims with writes outstanding; beyond it the store has failed for long. */
+/** Most claims that run or have a write outstanding; only a long outage of the store reaches it. */
 const MAX_OUTSTANDING = 10_000;
 
 /**
- * A claim is created in the platform, if absent, before the request runs. Its nonce gives one
- * process the right to run it once; everybody else answers with the outcome, or refuses.
+ * Before a request runs, its claim is created in the platform if absent. The process whose nonce
+ * the claim holds may run the request once; all others replay the outcome or refuse.
  */
 export class Claims implements AsyncDisposable {
-  /** Claims of this process whose last word is not in the platform yet, by id. */
+  /** Claims of this process that run or whose outcome or release is not stored yet, by id. */
   readonly #held = new Map<string, HeldClaim>();
 
-  readonly #writes: ClaimWrites;
+  readonly #writer: ClaimWriter;
 
   readonly #window: StoreWindow;
 
@@ -56,45 +56,45 @@
     private readonly clock: Clock,
     private readonly random: Random,
   ) {
-    this.#writes = new ClaimWrites(store, clock, random);
+    this.#writer = new ClaimWriter(store, clock, random);
     this.#window = new StoreWindow(clock, random);
   }
 
-  /** Claims held here that run, or whose end is still being written. */
+  /** Number of claims that run here, or whose outcome or release is still being written. */
   get outstanding(): number {
     return this.#held.size;
   }
 
-  /** Repeats that were told an outcome, since the start. */
+  /** Number of repeats answered with a recorded outcome since the process started. */
   get replayed(): number {
     return this.#replayed;
   }
 
   /**
-   * Resolves to the right to run, or to the recorded outcome. Throws `key-reused` for another
-   * request under the same key, `in-progress` or `outcome-unknown` (both `may-have-run`) where a
-   * first run is not known to have ended, and `store-unavailable` (`not-run`).
+   * Resolves to the right to run, or to the recorded outcome. Throws `key-reused` (`not-run`) for a
+   * different request under the same key, `in-progress` or `outcome-unknown` (both `may-have-run`)
+   * when no outcome of the first request is known, and `store-unavailable` (`not-run`).
    */
   async admit(request: KeyedRequest): Promise<Admission> {
     const id = claimId(request);
     if (this.#held.get(id)?.isReleased) await this.#awaitRelease(id, request.deadline);
     const own = this.#held.get(id);
-    if (own) return this.#repeat(own.claim, request);
+    if (own) return this.#answerRepeat(own.claim, request);
     if (this.#held.size >= MAX_OUTSTANDING) throw this.#storeUnavailable();
     return this.#acquire(id, request);
   }
 
-  /** Gives writes that are outstanding a last try. */
+  /** Gives outstanding writes one last attempt. */
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.#writes[Symbol.asyncDispose]();
+    await this.#writer[Symbol.asyncDispose]();
   }
 
   /**
-   * A claim that is being released is waited for and never taken up again: the removal that is on
-   * its way would take it from under the new run, and a repeat elsewhere would run a second time.
+   * Waits for a claim that is being released. Such a claim is never reused: the pending removal
+   * could delete it during the new run, and a repeat elsewhere would run a second time.
    */
   async #awaitRelease(id: string, deadline: number): Promise<void> {
-    await this.#writes.settled(id, Math.min(deadline, this.clock.now() + RELEASE_WAIT_MS));
+    await this.#writer.settled(id, Math.min(deadline, this.clock.now() + RELEASE_WAIT_MS));
     if (this.#held.get(id)?.isReleased) throw this.#storeUnavailable();
   }
 
@@ -105,21 +105,25 @@
       fingerprint,
       holder: this.instance,
       runBy: deadline,
-      expiresAt: Math.max(now, deadline) + KEEP_MS,
+      expiresAt: Math.max(now, deadline) + RETENTION_MS,
     };
-    const held = this.#hold(id, claim);
-    const there = await this.#ask(id, held, Math.min(deadline, now + ACQUIRE_MS));
-    if (there.nonce === claim.nonce) return { kind: 'run', claim: held };
+    const held = this.#track(id, claim);
+    const stored = await this.#acquireFromStore(
+      id,
+      held,
+      Math.min(deadline, now + ACQUIRE_TIMEOUT_MS),
+    );
+    if (stored.nonce === claim.nonce) return { kind: 'run', claim: held };
     this.#forget(id, held);
-    return this.#repeat(there, { fingerprint });
+    return this.#answerRepeat(stored, { fingerprint });
   }
 
-  #hold(id: string, claim: Claim): HeldClaim {
+  #track(id: string, claim: Claim): HeldClaim {
     const held = new HeldClaim(claim, this.clock, {
-      settle: (settled) => this.#finish(id, held, settled),
+      settle: (settled) => this.#writeEnd(id, held, settled),
       release: () => {
-        this.#finish(id, held, undefined);
-        return this.#writes.settled(id, this.clock.now() + RELEASE_WAIT_MS);
+        this.#writeEnd(id, held, undefined);
+        return this.#writer.settled(id, this.clock.now() + RELEASE_WAIT_MS);
       },
       abandon: () => this.#forget(id, held),
     });
@@ -128,10 +132,10 @@
   }
 
   /**
-   * A create whose answer was lost for good may have left the claim. Its nonce is never used for a
-   * run, and it is removed in the background: until then repeats elsewhere are refused, not run.
+   * A create that got no definite answer may have stored the claim. Its nonce is never used for a
+   * run, and the claim is removed in the background; until then repeats elsewhere are refused.
    */
-  async #ask(id: string, held: HeldClaim, deadline: number): Promise<Claim> {
+  async #acquireFromStore(id: string, held: HeldClaim, deadline: number): Promise<Claim> {
     try {
       const acquire = () => this.store.acquire(id, held.claim, deadline);
       return await this.#window.run(deadline, acquire);
@@ -142,18 +146,18 @@
     }
   }
 
-  #finish(id: string, held: HeldClaim, settled: Claim | undefined): void {
-    void this.#writes.write(id, held.claim, settled).then(() => this.#forget(id, held));
+  #writeEnd(id: string, held: HeldClaim, settled: Claim | undefined): void {
+    void this.#writer.write(id, held.claim, settled).then(() => this.#forget(id, held));
   }
 
   #forget(id: string, held: HeldClaim): void {
     if (this.#held.get(id) === held) this.#held.delete(id);
   }
 
-  #repeat(claim: Claim, { fingerprint }: Pick<KeyedRequest, 'fingerprint'>): Admission {
+  #answerRepeat(claim: Claim, { fingerprint }: Pick<KeyedRequest, 'fingerprint'>): Admission {
     if (claim.fingerprint !== fingerprint) {
       const props = { verdict: 'not-run', reason: 'key-reused' } as const;
-      throw new OutcomeError('the key was used for another request', props);
+      throw new OutcomeError('the idempotency key was already used for a different request', props);
     }
     if (claim.outcome) {
       this.#replayed += 1;
@@ -162,10 +166,10 @@
     const now = this.clock.now();
     const isRunning = now < claim.runBy;
     const retryAt = now + (isRunning ? RETRY_AFTER_MS : UNKNOWN_RETRY_AFTER_MS);
-    throw new OutcomeError('the same request was begun before and may have run', {
+    throw new OutcomeError('a request with the same key was started before and may have run', {
       verdict: 'may-have-run',
       reason: isRunning ? 'in-progress' : 'outcome-unknown',
-      // Once the claim has expired the key runs anew: nobody is told to come back by then.
+      // After the claim has expired the key would run again, so no retry is suggested by then.
       ...(retryAt < claim.expiresAt && { retryAt }),
     });
   }
@@ -173,11 +177,15 @@
   #storeUnavailable(cause?: unknown): OutcomeError {
     const retryAt = this.clock.now() + RETRY_AFTER_MS;
     const props = { verdict: 'not-run', reason: 'store-unavailable', retryAt } as const;
-    return new OutcomeError('the claim could not be made', props, { cause });
+    return new OutcomeError(
+      'the claim could not be created: the claim store is unavailable',
+      props,
+      { cause },
+    );
   }
 }
 
-/** Digest over route and key; the length keeps one from running into the other. */
+/** Digest over route and key; the length keeps different pairs from giving the same input. */
 function claimId({ route, key }: KeyedRequest): string {
   return createHash('sha256').update(`${route.length}:${route}${key}`).digest('hex');
 }
--- a/src/claims/fingerprint.ts
+++ b/src/claims/fingerprint.ts
@@ -1,21 +1,21 @@
-/** What tells one request from another: method, path, and the beginning and length of the body. */
+/** Fingerprint of a request: method, path, and the prefix and length of the body. */
 import { createHash } from 'node:crypto';
 import { type IncomingMessage } from 'node:http';
 import { Readable } from 'node:stream';
 import { OutcomeError } from '../contracts.js';
 
-/** How much of a body is digested, and held in memory while it is, in bytes. */
+/** Largest prefix of a body that is digested, and buffered for it, in bytes. */
 export const MAX_PREFIX_BYTES = 64 * 1024;
 
-/** The beginning of a request's body, and the body as a whole, still to be read. */
+/** The prefix of a request's body, and a stream of the whole body. */
 export interface Opening {
   readonly prefix: readonly Buffer[];
-  /** Bytes of the whole body, as far as they are known by now. */
+  /** Length of the whole body in bytes; undefined if it is neither declared nor read to its end. */
   readonly length: number | undefined;
   readonly body: Readable;
 }
 
-/** Reads the beginning of the body; all of it when it is short. Throws `not-run` if it is cut. */
+/** Reads the prefix of the body, all of a short one. Throws `not-run` if the body is truncated. */
 export async function openBody(request: IncomingMessage): Promise<Opening> {
   const iterator = request.iterator({ destroyOnReturn: false }) as AsyncIterator<Buffer>;
   const prefix: Buffer[] = [];
@@ -31,17 +31,17 @@
     }
   } catch (cause) {
     const props = { verdict: 'not-run', reason: 'bad-request' } as const;
-    throw new OutcomeError('the body of the request was cut', props, { cause });
+    throw new OutcomeError('the request body ended before it was complete', props, { cause });
   }
   const rest = isDone ? undefined : iterator;
   return {
     prefix,
     length: isDone ? length : declaredLength(request),
-    body: Readable.from(joined(prefix, rest), { objectMode: false }),
+    body: Readable.from(concatenated(prefix, rest), { objectMode: false }),
   };
 }
 
-/** Digest of a request. Bodies that differ after the prefix only differ in their length. */
+/** Digest of a request. Beyond the prefix, bodies are told apart by their length only. */
 export function fingerprintOf(
   { method, url }: Pick<IncomingMessage, 'method' | 'url'>,
   { prefix, length }: Pick<Opening, 'prefix' | 'length'>,
@@ -57,7 +57,7 @@
   return declared === undefined ? undefined : Number(declared);
 }
 
-async function* joined(
+async function* concatenated(
   prefix: readonly Buffer[],
   rest: AsyncIterator<Buffer> | undefined,
 ): AsyncGenerator<Buffer> {
--- a/src/claims/held_claim.ts
+++ b/src/claims/held_claim.ts
@@ -2,19 +2,20 @@
 import { type Claim, type Outcome, OutcomeError } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 
-/** What becomes of the claim in the platform. */
-interface Ending {
+/** Called once when the claim ends, to update the platform. */
+interface EndHandlers {
   readonly settle: (settled: Claim) => void;
-  /** Removes it; resolves when it is gone, or some time later. */
+  /** Removes the claim; resolves when it is removed, or after a timeout. */
   readonly release: () => Promise<void>;
-  /** Leaves it there without an outcome. */
+  /** Leaves the claim in the platform without an outcome. */
   readonly abandon: () => void;
 }
 
 /**
- * Ends in exactly one way: settled with an outcome, released as proven not to have run, or left
- * behind because the end is not known. Disposal ends what nobody else did, and waits for a release:
- * a caller who is told `not-run` first would come back at once and be refused by its own claim.
+ * Ends in exactly one way: settled with an outcome, released because the request provably did not
+ * run, or abandoned because the outcome is unknown. Disposal ends a claim that has not ended yet,
+ * and waits for its release: a caller that is told `not-run` before that would retry at once and be
+ * refused because of its own claim.
  */
 export class HeldClaim implements AsyncDisposable {
   #claim: Claim;
@@ -28,7 +29,7 @@
   constructor(
     claim: Claim,
     private readonly clock: Clock,
-    private readonly ending: Ending,
+    private readonly handlers: EndHandlers,
   ) {
     this.#claim = claim;
   }
@@ -42,17 +43,21 @@
   }
 
   /**
-   * Called right before the request is handed to the upstream. A process that was paused since it
-   * made the claim may wake when the claim has expired and another one has run the request; a
-   * second run would charge twice. Claims are removed an hour after `runBy` at the earliest, so
-   * whoever starts before `runBy` still holds it. Throws `not-run`.
+   * Called right before the request is sent to the upstream. Throws `not-run` if `runBy` has passed
+   * or the claim has ended. A process that was paused after it created the claim may resume when
+   * the claim has expired and another process has run the request; a second run would charge the
+   * customer twice. Claims are removed an hour after `runBy` at the earliest, so a process that
+   * starts before `runBy` still holds its claim.
    */
   start(): void {
-    if (this.#isStarted) throw new Error('a claim starts one run only');
+    if (this.#isStarted) throw new Error('the claim was started before; it allows one run');
     if (this.#isEnded || this.clock.now() >= this.#claim.runBy) {
       this.release();
       const props = { verdict: 'not-run', reason: 'deadline' } as const;
-      throw new OutcomeError('the claim lapsed before the request could run', props);
+      throw new OutcomeError(
+        'the claim ended or its deadline passed before the request could run',
+        props,
+      );
     }
     this.#isStarted = true;
   }
@@ -61,18 +66,18 @@
   settle(outcome: Outcome): void {
     if (!this.#end()) return;
     this.#claim = { ...this.#claim, outcome };
-    this.ending.settle(this.#claim);
+    this.handlers.settle(this.#claim);
   }
 
-  /** Gives the claim back: the request is proven not to have run, and a retry may run it. */
+  /** Removes the claim: the request provably did not run, so a repeat may run it. */
   release(): void {
     if (!this.#end()) return;
-    this.#released = this.ending.release();
+    this.#released = this.handlers.release();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
     if (!this.#isStarted) this.release();
-    else if (this.#end()) this.ending.abandon();
+    else if (this.#end()) this.handlers.abandon();
     await this.#released;
   }
 
--- a/src/claims/outcome.ts
+++ b/src/claims/outcome.ts
@@ -1,12 +1,11 @@
-/** Keeps how a claimed request ended, and gives it to those who repeat it. */
+/** Records the outcome of a claimed request, and replays it to repeats. */
 import { type IncomingMessage, type OutgoingHttpHeaders, type ServerResponse } from 'node:http';
 import { once } from 'node:events';
 import { type Outcome, OutcomeError } from '../contracts.js';
 import { REPLAYED, VERDICT } from '../requests/headers.js';
 
-/** Larger bodies are not kept: repeats are told that the request ran, but not the answer. */
+/** Longer bodies, in bytes, are not kept: repeats learn that the request ran, but get no answer. */
 export const MAX_OUTCOME_BODY_BYTES = 16 * 1024;
-/** Headers that are kept with an outcome. */
 const KEPT_HEADERS = [
   'content-type',
   'content-encoding',
@@ -15,13 +14,13 @@
   'etag',
   'last-modified',
 ];
-/** Longer header values are dropped. */
+/** Longer header values, in characters, are dropped. */
 const MAX_HEADER_LENGTH = 1024;
 
 /**
- * Passes an answer on and keeps a copy. The upstream's answer is read to its end even when the
- * caller has gone, because the caller will repeat the request to learn how it ended. Rejects if
- * the upstream's answer is cut.
+ * Relays an answer to the caller and resolves to a copy of it. The upstream's answer is read to its
+ * end even if the caller has disconnected, because the caller will repeat the request to learn its
+ * outcome. Rejects if the upstream's answer is truncated.
  */
 export async function relayAndKeep(
   answer: IncomingMessage,
@@ -32,7 +31,7 @@
   for await (const chunk of answer as AsyncIterable<Buffer>) {
     length += chunk.length;
     if (length <= MAX_OUTCOME_BODY_BYTES) kept.push(chunk);
-    if (!response.destroyed && !response.write(chunk)) await drained(response);
+    if (!response.destroyed && !response.write(chunk)) await waitForDrain(response);
   }
   response.end();
   return {
@@ -42,11 +41,14 @@
   };
 }
 
-/** Answers a repeat with the outcome of the first request. Throws `answer-not-kept` (`ran`). */
+/** Answers with a recorded outcome. Throws `answer-not-kept` (`ran`) if its body was too large. */
 export function replay(response: ServerResponse, { status, headers, body }: Outcome): void {
   if (body === undefined) {
     const props = { verdict: 'ran', reason: 'answer-not-kept' } as const;
-    throw new OutcomeError(`ran before with status ${status}; its answer was too large`, props);
+    throw new OutcomeError(
+      `the request ran before with status ${status}; its answer was too large to keep`,
+      props,
+    );
   }
   const bytes = Buffer.from(body, 'base64');
   const heads: OutgoingHttpHeaders = { ...headers, [VERDICT]: 'ran', [REPLAYED]: 'true' };
@@ -55,8 +57,8 @@
   response.end(bytes);
 }
 
-/** Resolves when there is room again, or when nobody reads any more. */
-async function drained(response: ServerResponse): Promise<void> {
+/** Resolves when the write buffer has drained, or the connection has closed. */
+async function waitForDrain(response: ServerResponse): Promise<void> {
   const settled = new AbortController();
   const { signal } = settled;
   const waits = [once(response, 'drain', { signal }), once(response, 'close', { signal })];
--- a/src/claims/range_claims.ts
+++ b/src/claims/range_claims.ts
@@ -1,4 +1,4 @@
-/** Claims of a key range gathered into one object and one conditional write. */
+/** Stores the claims of a key range in one object and batches their writes. */
 import { type Claim } from '../contracts.js';
 import { type Platform } from '../platform/platform.js';
 import { type Clock } from '../runtime/clock.js';
@@ -6,15 +6,15 @@
 import { ClaimRange } from './claim_range.js';
 import { ClaimStore } from './claim_store.js';
 
-/** How claims are gathered. */
+/** How claims are partitioned and their writes batched. */
 export interface Gathering {
-  /** Number of ranges, the same in the whole fleet. */
+  /** Number of ranges; must be the same in the whole fleet. */
   readonly ranges: number;
-  /** How long the first of a batch waits for others, in milliseconds. */
+  /** How long the first operation of a batch waits for others, in milliseconds. */
   readonly windowMs: number;
 }
 
-/** Hexadecimal digits of an id that choose its range. */
+/** Number of leading hexadecimal digits of an id that determine its range. */
 const RANGE_DIGITS = 8;
 
 export class RangeClaims extends ClaimStore {
@@ -24,7 +24,7 @@
     private readonly platform: Platform,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly gathering: Gathering,
+    private readonly options: Gathering,
   ) {
     super();
   }
@@ -42,10 +42,10 @@
   }
 
   #range(id: string): ClaimRange {
-    const number = Number.parseInt(id.slice(0, RANGE_DIGITS), 16) % this.gathering.ranges;
+    const number = Number.parseInt(id.slice(0, RANGE_DIGITS), 16) % this.options.ranges;
     let range = this.#ranges.get(number);
     if (!range) {
-      const { platform, clock, random, gathering } = this;
+      const { platform, clock, random, options: gathering } = this;
       range = new ClaimRange(`claim-ranges/${number}`, platform, clock, random, gathering.windowMs);
       this.#ranges.set(number, range);
     }
--- a/src/test/claims/claim_sweep_test.ts
+++ b/src/test/claims/claim_sweep_test.ts
@@ -38,7 +38,7 @@
     return (await store.list({ prefix: CLAIM_PREFIX }, Infinity)).length;
   }
 
-  it('removes what has expired at a bounded rate, and nothing else', async () => {
+  it('removes only expired claims, at a bounded rate', async () => {
     const sweep = new ClaimSweep(store, () => true, time.clock);
     void sweep.run(stopping.signal);
     await time.advance(1_001);
@@ -50,14 +50,14 @@
     expect([await count(), sweep.removed]).to.deep.equal([1, 400]);
   });
 
-  it('leaves it to another process while it is not the first', async () => {
+  it('does nothing while another process is the sweeper', async () => {
     const sweep = new ClaimSweep(store, () => false, time.clock);
     void sweep.run(stopping.signal);
     await time.advance(10_000);
     expect([await count(), store.calls.writes]).to.deep.equal([401, 0]);
   });
 
-  it('goes on where it was when the store comes back', async () => {
+  it('resumes after an outage of the store', async () => {
     const sweep = new ClaimSweep(store, () => true, time.clock);
     void sweep.run(stopping.signal);
     store.faults.down = true;
--- a/src/test/claims/claims_test.ts
+++ b/src/test/claims/claims_test.ts
@@ -5,7 +5,7 @@
 import { type Platform } from '../../platform/platform.js';
 import { type ClaimStore } from '../../claims/claim_store.js';
 import { ClaimSweep } from '../../claims/claim_sweep.js';
-import { Claims, KEEP_MS, type KeyedRequest } from '../../claims/claims.js';
+import { Claims, RETENTION_MS, type KeyedRequest } from '../../claims/claims.js';
 import { type HeldClaim } from '../../claims/held_claim.js';
 import { RangeClaims } from '../../claims/range_claims.js';
 import { SingleClaims } from '../../claims/single_claims.js';
@@ -51,18 +51,18 @@
       return { route: 'seats', key: 'k-1', fingerprint: 'f-1', deadline, ...change };
     }
 
-    /** What a caller is told, after whatever time it takes. */
-    async function told(claims: Claims, asked = request()): Promise<unknown> {
-      return (await settle(admit(claims, asked))).told;
+    /** Admits a request and resolves to its answer; advances the time until there is one. */
+    async function answerTo(claims: Claims, asked = request()): Promise<unknown> {
+      return (await advanceUntilDone(admit(claims, asked))).answer;
     }
 
-    async function claimed(claims: Claims, asked = request()): Promise<HeldClaim> {
-      const { claim } = await settle(admit(claims, asked));
+    async function acquireClaim(claims: Claims, asked = request()): Promise<HeldClaim> {
+      const { claim } = await advanceUntilDone(admit(claims, asked));
       expect(claim, 'the right to run').not.to.equal(undefined);
       return claim!;
     }
 
-    async function settle<T>(task: Promise<T>): Promise<T> {
+    async function advanceUntilDone<T>(task: Promise<T>): Promise<T> {
       let isDone = false;
       const done = () => {
         isDone = true;
@@ -72,90 +72,88 @@
       return task;
     }
 
-    it('runs a request once and tells repeats in any data centre its outcome', async () => {
+    it('runs a request once and replays its outcome to repeats in any data centre', async () => {
       const [arima, amman] = [claimsOf('arima-1'), claimsOf('amman-1')];
-      const claim = await claimed(arima);
+      const claim = await acquireClaim(arima);
       claim.start();
-      const meanwhile = [await told(arima), await told(amman)];
+      const meanwhile = [await answerTo(arima), await answerTo(amman)];
       claim.settle(OUTCOME);
-      const fromMemory = await told(arima);
+      const fromMemory = await answerTo(arima);
       await timers.tickAsync(1_000);
       expect(arima.outstanding).to.equal(0);
-      const later = [await told(amman), await told(claimsOf('restarted'))];
-      const other = await told(amman, request({ fingerprint: 'another body' }));
+      const later = [await answerTo(amman), await answerTo(claimsOf('restarted'))];
+      const other = await answerTo(amman, request({ fingerprint: 'another body' }));
       expect({ meanwhile, fromMemory, later, other }).toMatchSnapshot();
     });
 
     /*
-     * The create takes effect and its answer is lost; a repeat of the caller reaches another
-     * process at the same moment. The caller sees one run and one refusal: the first process reads
-     * back its own nonce and runs, the second finds a claim that is not its own.
+     * The create takes effect, its answer is lost, and a repeat reaches another process at the same
+     * time. Without the comparison of nonces both processes would run the request, or neither.
      */
-    it('settles a lost answer by its nonce while a repeat races', async () => {
+    it('resolves the lost answer to a create by its nonce while a repeat races', async () => {
       store.faults.loseAnswers = 1;
       const tasks = ['arima-1', 'amman-1'].map((name) => admit(claimsOf(name), request()));
-      const [first, second] = await settle(Promise.all(tasks));
-      expect([first!.told, second!.told]).to.have.members([
+      const [first, second] = await advanceUntilDone(Promise.all(tasks));
+      expect([first!.answer, second!.answer]).to.have.members([
         'run',
         'in-progress may-have-run +1000',
       ]);
     });
 
     /*
-     * The store is down, then too slow. The caller is refused at once or within a second with
-     * not-run and when to come back, and may then run: nothing of the first tries stands.
+     * The caller has to get not-run with a retry time within a second; nothing that an attempt left
+     * behind may keep its later retry from running.
      */
     it('refuses as not run while the store is down or slow', async () => {
       const claims = claimsOf('arima-1');
       store.faults.down = true;
-      const down = await told(claims);
+      const down = await answerTo(claims);
       store.faults.down = false;
       store.faults.slowMs = 5_000;
-      const slow = await told(claims);
+      const slow = await answerTo(claims);
       store.faults.slowMs = 0;
       await timers.tickAsync(10_000);
-      expect({ down, slow, after: await told(claims) }).toMatchSnapshot();
+      expect({ down, slow, after: await answerTo(claims) }).toMatchSnapshot();
     });
 
     /*
-     * The limit refuses a request after its claim was made. Its caller sees not-run and may come
-     * back to another process; the claim was given back before the refusal, so the repeat runs.
+     * A limit refuses a request after its claim was created. If the claim were not released before
+     * the refusal, the caller's retry at another process would be refused.
      */
-    it('gives back the claim of a request that did not run', async () => {
-      const claim = await claimed(claimsOf('arima-1'));
-      await settle(claim[Symbol.asyncDispose]());
-      expect(await told(claimsOf('amman-1'))).to.equal('run');
+    it('releases the claim of a request that did not run', async () => {
+      const claim = await acquireClaim(claimsOf('arima-1'));
+      await advanceUntilDone(claim[Symbol.asyncDispose]());
+      expect(await answerTo(claimsOf('amman-1'))).to.equal('run');
     });
 
     /*
-     * As above, but the removal is lost because the store goes down. A repeat must not take the
-     * old claim up again, as the removal may still arrive: it is refused until the store is back.
+     * The store goes down and the removal is lost, but may still arrive. A repeat that reused the
+     * claim could lose it during its run, so it is refused until the store is back.
      */
-    it('never takes up a claim again whose release is on its way', async () => {
+    it('never reuses a claim whose release is pending', async () => {
       const claims = claimsOf('arima-1');
-      const claim = await claimed(claims);
+      const claim = await acquireClaim(claims);
       store.faults.down = true;
-      await settle(claim[Symbol.asyncDispose]());
-      const meanwhile = await told(claims);
+      await advanceUntilDone(claim[Symbol.asyncDispose]());
+      const meanwhile = await answerTo(claims);
       store.faults.down = false;
       await timers.tickAsync(30_000);
-      expect({ meanwhile, after: await told(claims) }).toMatchSnapshot();
+      expect({ meanwhile, after: await answerTo(claims) }).toMatchSnapshot();
     });
 
     /*
-     * A process is paused between its claim and the run, for longer than the claim is kept; the
-     * claim expires, is swept away, and a repeat runs elsewhere. When the process wakes it must
-     * not run too, or the guest pays twice: the claim's run-by has passed, so it refuses.
+     * A process is paused between claim and run until its claim has expired and a repeat has run
+     * elsewhere. If it then ran the request as well, the customer would be charged twice.
      */
-    it('does not start after a pause that outlasted its claim', async () => {
-      const paused = await claimed(claimsOf('arima-1'));
-      timers.setSystemTime(clock.now() + KEEP_MS + TIMEOUT_MS + 1);
+    it('does not start a run after a pause longer than the retention of its claim', async () => {
+      const paused = await acquireClaim(claimsOf('arima-1'));
+      timers.setSystemTime(clock.now() + RETENTION_MS + TIMEOUT_MS + 1);
       const stopping = new AbortController();
       const sweep = new ClaimSweep(store, () => true, clock);
       void sweep.run(stopping.signal);
       await timers.tickAsync(2_000);
       stopping.abort();
-      const elsewhere = await claimed(claimsOf('amman-1'));
+      const elsewhere = await acquireClaim(claimsOf('amman-1'));
       elsewhere.start();
       expect(() => paused.start())
         .to.throw(OutcomeError)
@@ -163,44 +161,56 @@
     });
 
     /*
-     * A process dies between claim and run, or after the run before its outcome was written. The
-     * repeat cannot know which: it is told may-have-run and when to ask again, never run.
+     * A process dies after its claim and before the outcome was written. Whether the request ran is
+     * unknown, so a repeat gets may-have-run with a retry time and must never run.
      */
-    it('refuses for good when the holder died before an outcome was written', async () => {
+    it('refuses every repeat if the holder died before an outcome was written', async () => {
       const platform = new UnsteadyPlatform(store, clock, new SeededRandom(9), STEADY);
-      (await claimed(claimsOf('arima-1', platform))).start();
+      (await acquireClaim(claimsOf('arima-1', platform))).start();
       platform.hasCrashed = true;
-      const early = await told(claimsOf('arima-1'));
+      const early = await answerTo(claimsOf('arima-1'));
       await timers.tickAsync(TIMEOUT_MS);
-      expect({ early, late: await told(claimsOf('arima-1')) }).toMatchSnapshot();
+      expect({ early, late: await answerTo(claimsOf('arima-1')) }).toMatchSnapshot();
     });
 
     /*
-     * The outcome cannot be written because the store is down for a minute. A repeat at the same
-     * process is answered from memory meanwhile, elsewhere it is refused; then the write arrives.
+     * The store is down for a minute when an outcome is to be written. Without retries, and answers
+     * from memory until then, the outcome would be lost to repeats.
      */
-    it('writes an outcome late rather than never', async () => {
+    it('retries writing an outcome until the store is back', async () => {
       const claims = claimsOf('arima-1');
-      const claim = await claimed(claims);
+      const claim = await acquireClaim(claims);
       claim.start();
       store.faults.down = true;
       claim.settle(OUTCOME);
       await timers.tickAsync(60_000);
-      const here = await told(claims);
+      const here = await answerTo(claims);
       store.faults.down = false;
       await timers.tickAsync(30_000);
-      expect([here, await told(claimsOf('amman-1'))]).to.deep.equal(['replay 201', 'replay 201']);
+      expect([here, await answerTo(claimsOf('amman-1'))]).to.deep.equal([
+        'replay 201',
+        'replay 201',
+      ]);
     });
 
     it('runs a key at most once, and not-run excludes a run (property)', async () => {
       await fc.assert(
-        fc.asyncProperty(fc.array(ASK, { maxLength: 12 }), UNSTEADY, fc.nat(), checkAsks),
+        fc.asyncProperty(
+          fc.array(PLANNED_REQUEST, { maxLength: 12 }),
+          UNSTEADY,
+          fc.nat(),
+          checkSchedule,
+        ),
         { seed: 5, numRuns: 30 },
       );
     });
 
-    /** Carries out a schedule of requests over three processes with unsteady ways to the store. */
-    async function checkAsks(asks: Ask[], unsteadiness: typeof STEADY, from: number) {
+    /** Runs a schedule of requests over three processes whose calls to the store are unreliable. */
+    async function checkSchedule(
+      schedule: PlannedRequest[],
+      unsteadiness: typeof STEADY,
+      from: number,
+    ) {
       store = new PlatformStore(clock);
       seed = from;
       const runs = new Map<string, number>();
@@ -209,11 +219,11 @@
           new UnsteadyPlatform(store, clock, new SeededRandom(from + process), unsteadiness),
       );
       const processes = platforms.map((platform, index) => claimsOf(`process-${index}`, platform));
-      const carry = async ({ atMs, process, key, fate }: Ask) => {
+      const perform = async ({ atMs, process, key, fate }: PlannedRequest) => {
         await clock.sleepUntil(clock.now() + atMs);
         const platform = platforms[process]!;
         if (platform.hasCrashed) return;
-        const { claim, told: answer } = await admit(processes[process]!, request({ key }));
+        const { claim, answer } = await admit(processes[process]!, request({ key }));
         const before = runs.get(key) ?? 0;
         if (answer.startsWith('replay')) expect(before).to.equal(1);
         if (!claim) return;
@@ -232,21 +242,21 @@
         if (fate === 'crashes after the run') platform.hasCrashed = true;
         claim.settle(OUTCOME);
       };
-      await settle(Promise.all(asks.map(carry)));
+      await advanceUntilDone(Promise.all(schedule.map(perform)));
       for (const count of runs.values()) expect(count).to.equal(1);
       for (const platform of platforms) platform.hasCrashed = true;
     }
   });
 }
 
-interface Ask {
+interface PlannedRequest {
   readonly atMs: number;
   readonly process: number;
   readonly key: string;
   readonly fate: string;
 }
 
-const ASK = fc.record({
+const PLANNED_REQUEST = fc.record({
   atMs: fc.integer({ min: 0, max: 4_000 }),
   process: fc.integer({ min: 0, max: 2 }),
   key: fc.constantFrom('k-1', 'k-2'),
@@ -267,20 +277,20 @@
   late: fc.double({ min: 0, max: 0.3, noNaN: true }),
 });
 
-interface Told {
+interface AdmitResult {
   readonly claim?: HeldClaim;
-  readonly told: string;
+  readonly answer: string;
 }
 
-async function admit(claims: Claims, asked: KeyedRequest): Promise<Told> {
+async function admit(claims: Claims, asked: KeyedRequest): Promise<AdmitResult> {
   try {
     const admission = await claims.admit(asked);
-    if (admission.kind === 'run') return { claim: admission.claim, told: 'run' };
-    return { told: `replay ${admission.outcome.status}` };
+    if (admission.kind === 'run') return { claim: admission.claim, answer: 'run' };
+    return { answer: `replay ${admission.outcome.status}` };
   } catch (error) {
     if (!(error instanceof OutcomeError)) throw error;
     const { reason, verdict, retryAt } = error;
     const wait = retryAt === undefined ? '' : ` +${retryAt - clock.now()}`;
-    return { told: `${reason} ${verdict}${wait}` };
+    return { answer: `${reason} ${verdict}${wait}` };
   }
 }
--- a/src/test/claims/once_test.ts
+++ b/src/test/claims/once_test.ts
@@ -43,7 +43,7 @@
 
   afterEach(() => owned[Symbol.asyncDispose]());
 
-  /** A process beside the upstream; several share the store, as data centres do. */
+  /** Starts a guard beside the upstream; several share the store, as data centres do. */
   async function guardOf(instance: string): Promise<number> {
     const random = new SeededRandom(instance.length);
     const guard = owned.use(new Guard(clock));
@@ -79,7 +79,7 @@
     }
   }
 
-  function seen({ status, headers: got, body }: Answer): unknown {
+  function summaryOf({ status, headers: got, body }: Answer): unknown {
     const names = ['barleyhaven-verdict', 'barleyhaven-reason', 'barleyhaven-replayed'];
     const kept = ['location', 'set-cookie', 'retry-after', ...names];
     return { status, body, ...Object.fromEntries(kept.map((name) => [name, got[name]])) };
@@ -90,32 +90,32 @@
     const first = await book(arima);
     const again = await bookUntil(amman, 201);
     const otherBody = await book(amman, 'seat=13');
-    expect([first, again, otherBody].map(seen)).toMatchSnapshot();
+    expect([first, again, otherBody].map(summaryOf)).toMatchSnapshot();
     expect(bodies).to.deep.equal(['seat=12']);
   });
 
   /*
-   * The caller goes away while the upstream runs its booking, and sends it again. It is told how
-   * the first run ended: the answer was read to its end although nobody waited for it.
+   * The caller disconnects while the upstream runs its booking. If the answer were not read to its
+   * end, the outcome would be lost and the repeat refused.
    */
-  it('tells a caller that went away and came back how it ended', async () => {
+  it('replays the outcome to a caller that disconnected and sent the request again', async () => {
     const port = await guardOf('arima');
-    const leaving = request({ host: LOOPBACK, port, path: '/seats', method: 'POST' });
-    for (const [name, value] of Object.entries(headers())) leaving.setHeader(name, value);
-    leaving.on('error', () => {});
-    leaving.end('seat=12');
+    const disconnecting = request({ host: LOOPBACK, port, path: '/seats', method: 'POST' });
+    for (const [name, value] of Object.entries(headers())) disconnecting.setHeader(name, value);
+    disconnecting.on('error', () => {});
+    disconnecting.end('seat=12');
     await once(upstream, 'run');
-    leaving.destroy();
+    disconnecting.destroy();
     const again = await bookUntil(port, 201);
     expect(again.headers['barleyhaven-replayed']).to.equal('true');
     expect(bodies).to.deep.equal(['seat=12']);
   });
 
   /*
-   * The upstream is down: its port refuses connections. The caller sees not-run, and its claim was
-   * given back before that; when it comes back through another process, the booking runs.
+   * The upstream's port refuses connections. If the claim were not released before the caller sees
+   * not-run, its retry through another process would be refused.
    */
-  it('gives the claim back when the upstream cannot be reached', async () => {
+  it('releases the claim when the upstream cannot be reached', async () => {
     const [arima, amman] = [await guardOf('arima'), await guardOf('amman-1')];
     await shut(upstream);
     const refused = await book(arima);
@@ -129,13 +129,13 @@
     answerBytes = MAX_OUTCOME_BODY_BYTES + 1;
     const port = await guardOf('arima');
     expect((await book(port)).body).to.have.length(answerBytes);
-    expect(seen(await book(port))).toMatchSnapshot();
+    expect(summaryOf(await book(port))).toMatchSnapshot();
     expect(bodies).to.have.length(1);
   });
 
-  it('is refused as not run while the store is away', async () => {
+  it('is refused as not run while the store is down', async () => {
     store.faults.down = true;
-    expect(seen(await book(await guardOf('arima')))).toMatchSnapshot();
+    expect(summaryOf(await book(await guardOf('arima')))).toMatchSnapshot();
     expect(bodies).to.deep.equal([]);
   });
 });
--- a/src/test/claims/range_claims_test.ts
+++ b/src/test/claims/range_claims_test.ts
@@ -29,7 +29,7 @@
     return { nonce, fingerprint, holder: 'arima-1', runBy, expiresAt: runBy + TIMEOUT_MS };
   }
 
-  /** Acquires a number of claims at once; the nonces that are there then. */
+  /** Acquires claims concurrently; each resolves to the nonce that is stored afterwards. */
   function acquire(ranges: RangeClaims, ids: string[], writer: string): Promise<string>[] {
     const deadline = time.clock.now() + TIMEOUT_MS;
     return ids.map(async (id) => {
@@ -40,30 +40,26 @@
 
   const IDS = ['00', '01', '02', '03', '04', '05'];
 
-  it('gathers what is asked within the window into one write', async () => {
-    const asked = Promise.all(acquire(rangesOf(1), IDS, 'arima'));
+  it('batches the operations of one window into one write', async () => {
+    const acquired = Promise.all(acquire(rangesOf(1), IDS, 'arima'));
     await time.advance(50);
-    expect(await asked).to.deep.equal(IDS.map((id) => `arima-${id}`));
+    expect(await acquired).to.deep.equal(IDS.map((id) => `arima-${id}`));
     expect(store.calls.writes).to.equal(1);
   });
 
   /*
-   * Two processes write the same range at once, for the same keys. One write prevails; the other
-   * process reads the page again and finds that its claims are held, so exactly one of them runs
-   * each request.
+   * Two processes write the same range concurrently, for the same keys. The one whose write
+   * conflicts has to read the page again and find the claims taken; both would run otherwise.
    */
-  it('lets one of two processes have each claim', async () => {
-    const asked = ['arima', 'amman'].flatMap((name, seed) => acquire(rangesOf(seed), IDS, name));
-    const all = Promise.all(asked);
+  it('grants each claim to exactly one of two processes', async () => {
+    const tasks = ['arima', 'amman'].flatMap((name, seed) => acquire(rangesOf(seed), IDS, name));
+    const all = Promise.all(tasks);
     await time.advance(500);
     const nonces = await all;
     expect(nonces.slice(0, IDS.length)).to.deep.equal(nonces.slice(IDS.length));
   });
 
-  /*
-   * The page has no room for another claim. The caller is refused as not run when its time is up;
-   * a larger page could not be written at all.
-   */
+  /* A larger page could not be written at all: the caller gets not-run at its deadline. */
   it('refuses when the page is full', async () => {
     const ranges = rangesOf(1);
     const large = 'x'.repeat(460_000);
