--- a/src/claims/store_window.ts
+++ b/src/claims/store_window.ts
@@ -26,9 +26,9 @@
 /**
  * The whole fleet shares the platform's write capacity. Without a limit, claims beyond that
  * capacity would queue until their deadlines, and nearly every write would be for a caller that has
- * given up. The window grows by one per round trip while answers are fast and shrinks by a factor when
- * they are slow. When a call gets no answer the window shrinks to one, and claims are refused at
- * once during a pause.
+ * given up. The window grows by one per round trip while answers are fast and shrinks by a factor
+ * when they are slow. When a call gets no answer the window shrinks to one, and claims are refused
+ * at once during a pause.
  */
 export class StoreWindow {
   readonly #queue = new PQueue({ concurrency: INITIAL_SIZE });
--- a/src/test/claims/range_claims_test.ts
+++ b/src/test/claims/range_claims_test.ts
@@ -52,8 +52,8 @@
    * conflicts has to read the page again and find the claims taken; both would run otherwise.
    */
   it('grants each claim to exactly one of two processes', async () => {
-    const tasks = ['arima', 'amman'].flatMap((name, seed) => acquire(rangesOf(seed), IDS, name));
-    const all = Promise.all(tasks);
+    const acquired = ['arima', 'amman'].flatMap((name, seed) => acquire(rangesOf(seed), IDS, name));
+    const all = Promise.all(acquired);
     await time.advance(500);
     const nonces = await all;
     expect(nonces.slice(0, IDS.length)).to.deep.equal(nonces.slice(IDS.length));
