--- a/src/source/appender.ts
+++ b/src/source/appender.ts
@@ -1,10 +1,10 @@
-/** Writes a record into the log and finds out whether it is there. */
+/** Appends a record to the log and determines whether the write took effect. */
 import { OutcomeError, type VersionRecord } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { type Log } from './log.js';
 
-/** Cap of the jittered wait between attempts to settle a lost answer, in milliseconds. */
+/** Upper bound of the jittered wait between attempts to resolve a lost answer, in milliseconds. */
 const RETRY_CAP_MS = 200;
 
 export class Appender {
@@ -15,9 +15,9 @@
   ) {}
 
   /**
-   * Whether the record is in the log under its number; false if another one is. Throws
-   * `OutcomeError`: `not-run` if it surely is not there, `may-have-run` if that cannot be found
-   * out by the deadline.
+   * Resolves to whether the record is in the log under its number; false if another one is. Throws
+   * `OutcomeError`: `not-run` if the record is definitely not there, `may-have-run` if that cannot
+   * be determined by the deadline.
    */
   async append(record: VersionRecord, deadline: number): Promise<boolean> {
     if (this.clock.now() >= deadline) {
@@ -26,39 +26,39 @@
         reason: 'deadline',
       });
     }
-    const fitting = await this.#fitting(record, deadline);
+    const prepared = await this.#splitLargeRecord(record, deadline);
     try {
-      return await this.log.append(fitting, deadline);
+      return await this.log.append(prepared, deadline);
     } catch (error) {
       if (!(error instanceof OutcomeError) || error.verdict === 'not-run') throw error;
-      return this.#settle(fitting, deadline);
+      return this.#resolveLostAnswer(prepared, deadline);
     }
   }
 
-  /** Parts alone put nothing in force: whatever becomes of them, the note was not accepted. */
-  async #fitting(record: VersionRecord, deadline: number): Promise<VersionRecord> {
+  /** Parts without a record have no effect, so any failure here means the note was not accepted. */
+  async #splitLargeRecord(record: VersionRecord, deadline: number): Promise<VersionRecord> {
     try {
-      return await this.log.fitting(record, deadline);
+      return await this.log.splitLargeRecord(record, deadline);
     } catch (error) {
-      const message = 'the platform did not take the parts of the change';
+      const message = 'the platform did not store the parts of the change';
       const props = { verdict: 'not-run', reason: 'unavailable' } as const;
       throw new OutcomeError(message, props, { cause: error });
     }
   }
 
   /**
-   * An answer can be lost after the write took effect. A writer that gave up would deny a version
-   * that every proxy applies, and one that wrote under the next number would apply it twice. The
-   * number admits one record for good and the nonce says whose it is, so reading it back settles
-   * the matter whenever the platform answers again.
+   * The answer can be lost after the write took effect. A writer that gave up would deny a version
+   * that every proxy applies, and one that wrote under the next number would apply it twice. A
+   * number holds one record forever and the nonce identifies its writer, so reading the record back
+   * gives the answer as soon as the platform is available again.
    */
-  async #settle(record: VersionRecord, deadline: number): Promise<boolean> {
+  async #resolveLostAnswer(record: VersionRecord, deadline: number): Promise<boolean> {
     while (this.clock.now() < deadline) {
       try {
         const held = await this.log.get(record.version.number, deadline);
         if (held) return held.nonce === record.nonce;
-        // Nothing there: the first write may still be on its way, so it is sent again under the
-        // same number and nonce. Whichever arrives first is the one record.
+        // No record yet: the first write may still arrive, so it is sent again under the same
+        // number and nonce. Whichever arrives first creates the record.
         if (await this.log.append(record, deadline)) return true;
       } catch (error) {
         if (!(error instanceof OutcomeError)) throw error;
@@ -67,7 +67,7 @@
       }
     }
     throw new OutcomeError(
-      'the platform does not say whether the note was accepted; hand the same note in again',
+      'no answer from the platform: the note may have been accepted; submit it again unchanged',
       { verdict: 'may-have-run', reason: 'unsettled' },
     );
   }
--- a/src/source/audit.ts
+++ b/src/source/audit.ts
@@ -1,15 +1,15 @@
-/** The audit trail: the log and the refusals beside it, read back in time order. */
+/** The audit trail: merges the log and the stored refusals in time order. */
 import {
   type AuditCursor,
   type AuditEntry,
   type AuditPage,
   type VersionRecord,
 } from '../contracts.js';
-import { touched } from './evaluate.js';
-import { type Log, PAGE } from './log.js';
-import { bounded, type Refusals } from './refusals.js';
+import { touchedKeys } from './evaluate.js';
+import { type Log, PAGE_SIZE } from './log.js';
+import { truncateEntry, type Refusals } from './refusals.js';
 
-/** Where the trail begins. */
+/** Cursor at the start of the trail. */
 export const TRAIL_START: AuditCursor = { version: 0, refusal: '' };
 
 export class Audit {
@@ -18,7 +18,7 @@
     private readonly refusals: Refusals,
   ) {}
 
-  /** The entries after `cursor`, a page of either kind at most. */
+  /** The entries after `cursor`: at most one page of versions and one of refusals. */
   async page(cursor: AuditCursor, deadline: number): Promise<AuditPage> {
     const [records, refusals] = await Promise.all([
       this.log.read(cursor.version, deadline),
@@ -29,9 +29,10 @@
     for (;;) {
       const record = records[version - cursor.version];
       const refused = refusals[entries.length - (version - cursor.version)];
-      // Beyond a full page there may be more of its kind, and earlier than the rest of the other.
-      const isCut = (!record && records.length === PAGE) || (!refused && refusals.length === PAGE);
-      if (isCut) return { entries, next: { version, refusal } };
+      // After a full page there may be more of that kind, earlier than the rest of the other kind.
+      const isTruncated =
+        (!record && records.length === PAGE_SIZE) || (!refused && refusals.length === PAGE_SIZE);
+      if (isTruncated) return { entries, next: { version, refusal } };
       if (!record && !refused) return { entries };
       if (refused && (!record || refused.entry.at < record.version.acceptedAt)) {
         entries.push(refused.entry);
@@ -45,14 +46,14 @@
 }
 
 function entryOf({ version, action, author }: VersionRecord): AuditEntry {
-  return bounded({
+  return truncateEntry({
     at: version.acceptedAt,
     author,
     action,
     note: version.note,
     outcome: 'accepted',
     version: version.number,
-    resources: touched(version.change),
+    resources: touchedKeys(version.change),
     problems: [],
     omitted: 0,
   });
--- a/src/source/change_parts.ts
+++ b/src/source/change_parts.ts
@@ -1,14 +1,14 @@
-/** Changes that are too long for one value, as several shorter ones that do the same in order. */
+/** Splits a change that is too long for one value into shorter ones to be applied in order. */
 import { type Change, type Resource } from '../contracts.js';
 import { MAX_PART_BYTES } from './partition.js';
 
-/** The texts of changes that together make up `change`; each fits into one value. */
+/** Splits `change` into changes that each fit into one value; returns them as JSON. */
 export function splitChange(change: Change): string[] {
   const texts: string[] = [];
   let put: Resource[] = [];
   let remove: string[] = [];
   let bytes = 0;
-  const finish = () => {
+  const endPart = () => {
     texts.push(JSON.stringify({ put, remove }));
     put = [];
     remove = [];
@@ -16,7 +16,7 @@
   };
   const count = (value: unknown) => {
     const size = Buffer.byteLength(JSON.stringify(value));
-    if (bytes > 0 && bytes + size > MAX_PART_BYTES) finish();
+    if (bytes > 0 && bytes + size > MAX_PART_BYTES) endPart();
     bytes += size;
   };
   for (const key of change.remove) {
@@ -27,10 +27,11 @@
     count(resource);
     put.push(resource);
   }
-  finish();
+  endPart();
   return texts;
 }
 
+/** Reverses `splitChange`. */
 export function joinChanges(changes: readonly Change[]): Change {
   return {
     put: changes.flatMap((change) => change.put),
--- a/src/source/evaluate.ts
+++ b/src/source/evaluate.ts
@@ -1,4 +1,4 @@
-/** Turns release notes into changes of a configuration. */
+/** Computes the changes that release notes make to a configuration. */
 import { type Configuration } from '../configuration/configuration.js';
 import { digestOf } from '../configuration/digest.js';
 import {
@@ -11,32 +11,32 @@
   type Section,
 } from '../contracts.js';
 
-/** What a note would do to a configuration, or why it cannot. */
+/** The change that a note makes to a configuration, and what prevents it. */
 export interface Evaluation {
   readonly change: Change;
-  /** Restores the state before the note. */
+  /** Change that restores the state before the note. */
   readonly undo: Change;
   readonly problems: readonly Problem[];
 }
 
-/** What a note has done so far: the change of its latest version and what takes it back. */
+/** What a note has changed so far: the change of its latest version, and its inverse. */
 export type Effect = Pick<Evaluation, 'change' | 'undo'>;
 
-/** Works out the change that `note` makes to `configuration`. */
+/** Computes the change that `note` makes to `configuration`. */
 export function evaluate(note: ReleaseNote, configuration: Configuration): Evaluation {
   const problems: Problem[] = [];
   const seen = new Set<ResourceKey>();
-  const added = listed(note.add);
-  const changed = listed(note.change);
+  const added = resourcesOf(note.add);
+  const changed = resourcesOf(note.change);
   const withdrawn = withdrawnKeys(note);
-  const check = (section: string, key: ResourceKey, mustBeHeld: boolean) => {
+  const check = (section: string, key: ResourceKey, mustExist: boolean) => {
     const path = `${section}.${key}`;
     if (seen.has(key)) problems.push({ path, message: 'named more than once in the note' });
     seen.add(key);
-    const isHeld = configuration.get(key) !== undefined;
-    if (isHeld && !mustBeHeld)
-      problems.push({ path, message: 'is held already; list it under change' });
-    if (!isHeld && mustBeHeld) problems.push({ path, message: 'is not held' });
+    const exists = configuration.get(key) !== undefined;
+    if (exists && !mustExist)
+      problems.push({ path, message: 'exists already; list it under change' });
+    if (!exists && mustExist) problems.push({ path, message: 'does not exist' });
   };
   added.forEach((resource) => check('add', resourceKey(resource), false));
   changed.forEach((resource) => check('change', resourceKey(resource), true));
@@ -47,7 +47,7 @@
   return { change, undo: inverse(change, configuration), problems };
 }
 
-/** Works out the one change that takes `effect` back and makes what `note` says instead. */
+/** Computes the one change that undoes `effect` and applies `note` instead. */
 export function evaluateAmendment(
   note: ReleaseNote,
   effect: Effect,
@@ -57,30 +57,29 @@
   return { change: compose(effect.undo, change), undo, problems };
 }
 
-/** Works out the change that takes `effect` back. */
+/** Computes the change that undoes `effect`. */
 export function evaluateWithdrawal(effect: Effect, configuration: Configuration): Evaluation {
   const change = effect.undo;
   return { change, undo: inverse(change, configuration), problems: [] };
 }
 
-/** Keys of resources that are not as the note left them: a later note touched them. */
-export function disturbed(effect: Effect, configuration: Configuration): ResourceKey[] {
+/** Keys of resources that differ from what the note left, because a later note touched them. */
+export function overwrittenKeys(effect: Effect, configuration: Configuration): ResourceKey[] {
   const left = new Map(effect.change.put.map((resource) => [resourceKey(resource), resource]));
-  return touched(effect.undo).filter(
+  return touchedKeys(effect.undo).filter(
     (key) => digestOf(left.get(key)) !== digestOf(configuration.get(key)),
   );
 }
 
-/** Keys that a change touches. */
-export function touched(change: Change): ResourceKey[] {
+export function touchedKeys(change: Change): ResourceKey[] {
   return [...change.put.map(resourceKey), ...change.remove];
 }
 
-/** The change that leads back from `change` to `configuration`, for the resources it touches. */
+/** The change that undoes `change` after it was applied to `configuration`. */
 export function inverse(change: Change, configuration: Configuration): Change {
   const put: Resource[] = [];
   const remove: ResourceKey[] = [];
-  for (const key of touched(change)) {
+  for (const key of touchedKeys(change)) {
     const before = configuration.get(key);
     if (before) put.push(before);
     else remove.push(key);
@@ -88,16 +87,16 @@
   return { put, remove };
 }
 
-/** One change that does what `first` and then `second` would do. */
+/** One change with the effect of `first` followed by `second`. */
 function compose(first: Change, second: Change): Change {
-  const later = new Set(touched(second));
+  const later = new Set(touchedKeys(second));
   return {
     put: [...first.put.filter((resource) => !later.has(resourceKey(resource))), ...second.put],
     remove: [...first.remove.filter((key) => !later.has(key)), ...second.remove],
   };
 }
 
-function listed(section: Section): Resource[] {
+function resourcesOf(section: Section): Resource[] {
   return [
     ...section.upstreams.map((upstream) => ({ kind: 'upstream' as const, ...upstream })),
     ...section.limits.map((limit) => ({ kind: 'limit' as const, ...limit })),
--- a/src/source/head.ts
+++ b/src/source/head.ts
@@ -1,4 +1,4 @@
-/** The end of the log as it is known here: the configuration there and what led to it lately. */
+/** The end of the log as known to this process: its configuration and the latest versions. */
 import { Configuration } from '../configuration/configuration.js';
 import { GENESIS } from '../configuration/digest.js';
 import {
@@ -8,12 +8,12 @@
   type Snapshot,
   type VersionRecord,
 } from '../contracts.js';
-import { touched } from './evaluate.js';
-import { type Log, PAGE } from './log.js';
+import { touchedKeys } from './evaluate.js';
+import { type Log, PAGE_SIZE } from './log.js';
 import { type Snapshots } from './snapshots.js';
 
-/** What is remembered of a version. */
-export interface Entry {
+/** What is kept in memory of a version. */
+export interface VersionSummary {
   readonly number: number;
   readonly note: string;
   readonly action: Action;
@@ -23,16 +23,16 @@
 }
 
 /**
- * Remembers the versions after `floor` only. No version up to it needs to be remembered, because a
- * published snapshot covers it and the index of notes was complete up to there before that.
+ * Keeps only the versions after `floor`. Those up to `floor` are covered by a published snapshot,
+ * and the index of notes was complete up to there before the snapshot was published.
  */
 export class Head {
   #configuration = Configuration.empty;
 
-  /** Digest of the version before. */
+  /** Digest of the previous version. */
   #parent = GENESIS;
 
-  #entries: Entry[] = [];
+  #entries: VersionSummary[] = [];
 
   #floor = 0;
 
@@ -51,8 +51,8 @@
     return this.#floor;
   }
 
-  /** Remembered versions, oldest first. */
-  get entries(): readonly Entry[] {
+  /** The versions after `floor`, oldest first. */
+  get entries(): readonly VersionSummary[] {
     return this.#entries;
   }
 
@@ -61,19 +61,20 @@
     return { number, digest, parent: this.#parent, resources: this.#configuration.resources() };
   }
 
-  /** Reads whatever the log holds beyond what is known here, at first from the latest snapshot. */
+  /** Reads the log to its end; the first call starts from the latest snapshot. */
   async catchUp(deadline: number): Promise<void> {
     if (!this.#isStarted) await this.#start(deadline);
     for (;;) {
       const records = await this.log.read(this.#configuration.number, deadline);
       records.forEach((record) => this.advance(record));
-      if (records.length < PAGE) return;
+      if (records.length < PAGE_SIZE) return;
     }
   }
 
   /**
-   * Moves on to the record that follows. One that does not follow was written to another chain,
-   * or changed since; accepting on top of it would give a version that every proxy refuses.
+   * Applies the next record. A record that does not follow the head belongs to another chain or was
+   * modified; a version accepted on top of it would be refused by every proxy. Throws
+   * `broken-chain` (`not-run`).
    */
   advance(record: VersionRecord): void {
     const { version, action, content } = record;
@@ -81,17 +82,17 @@
     const next = this.#configuration.next(change);
     const follows = next.number === number && parent === this.#configuration.digest;
     if (!follows || next.digest !== digest) {
-      throw new OutcomeError(`version ${number} does not follow version ${next.number - 1}`, {
-        verdict: 'not-run',
-        reason: 'broken-chain',
-      });
+      throw new OutcomeError(
+        `version ${number} does not follow version ${next.number - 1}: number or digest mismatch`,
+        { verdict: 'not-run', reason: 'broken-chain' },
+      );
     }
     this.#configuration = next;
     this.#parent = parent;
-    this.#entries.push({ number, note, action, content, resources: touched(change) });
+    this.#entries.push({ number, note, action, content, resources: touchedKeys(change) });
   }
 
-  /** Forgets versions up to `number`, which a published snapshot covers. */
+  /** Drops versions up to `number`, which a published snapshot covers. */
   trim(number: number): void {
     this.#floor = Math.max(this.#floor, Math.min(number, this.#configuration.number));
     this.#entries = this.#entries.filter((entry) => entry.number > this.#floor);
@@ -103,7 +104,7 @@
     if (!snapshot) return;
     const { number, digest, parent, resources } = snapshot;
     const configuration = Configuration.of(number, digest, resources);
-    // Parts are checked one by one; this finds a snapshot that lists the wrong ones.
+    // The parts were verified one by one; this detects a snapshot that lists the wrong parts.
     if (!configuration.matches(parent)) return;
     this.#configuration = configuration;
     this.#parent = parent;
--- a/src/source/log_feed.ts
+++ b/src/source/log_feed.ts
@@ -1,13 +1,13 @@
-/** Feeds the replica from the log of versions. */
+/** Updates the replica from the log of versions. */
 import { Feed } from '../distribution/feed.js';
 import { type Replica } from '../distribution/replica.js';
 import { type Platform } from '../platform/platform.js';
-import { Log, PAGE } from './log.js';
+import { Log, PAGE_SIZE } from './log.js';
 import { Snapshots } from './snapshots.js';
 
 export class LogFeed extends Feed {
-  /** Whether it was looked for a snapshot to start from. */
-  #hasLeapt = false;
+  /** Whether the latest snapshot was looked up already. */
+  #hasTriedSnapshot = false;
 
   constructor(
     private readonly log: Log,
@@ -18,7 +18,7 @@
   }
 
   async catchUp(deadline: number): Promise<boolean> {
-    if (!this.#hasLeapt) await this.#leap(deadline);
+    if (!this.#hasTriedSnapshot) await this.#installSnapshot(deadline);
     for (;;) {
       const records = await this.log.read(this.replica.current.number, deadline);
       if (records.length === 0) return true;
@@ -33,17 +33,16 @@
   }
 
   /**
-   * Starts from the latest snapshot where that saves more than one page of the log. One that the
-   * replica refuses costs nothing but the replay that it should have saved.
+   * Installs the latest snapshot if that saves more than one page of the log. If the replica
+   * refuses it, the log is replayed instead.
    */
-  async #leap(deadline: number): Promise<void> {
-    const snapshot = await this.snapshots.load(this.replica.current.number + PAGE, deadline);
-    this.#hasLeapt = true;
+  async #installSnapshot(deadline: number): Promise<void> {
+    const snapshot = await this.snapshots.load(this.replica.current.number + PAGE_SIZE, deadline);
+    this.#hasTriedSnapshot = true;
     if (snapshot) this.replica.install(snapshot, 'source');
   }
 }
 
-/** A feed from the log that `platform` holds. */
 export function logFeed(platform: Platform, replica: Replica): LogFeed {
   const log = new Log(platform);
   return new LogFeed(log, new Snapshots(platform, log), replica);
--- a/src/source/note_text.ts
+++ b/src/source/note_text.ts
@@ -1,8 +1,8 @@
-/** Reads release notes from YAML, of which JSON is a part. */
+/** Parses release notes from YAML, and so from JSON, which is a subset of YAML. */
 import { parseDocument } from 'yaml';
 import { MAX_NOTE_BYTES, type Problem, ReleaseNote } from '../contracts.js';
 
-/** A release note, or all that is wrong with the text; `data` is as much of it as can be read. */
+/** A release note, or all problems of the text; `data` is what could be parsed of it. */
 export type Reading =
   | { readonly note: ReleaseNote }
   | { readonly problems: readonly Problem[]; readonly data?: unknown };
@@ -15,19 +15,19 @@
   }
   const document = parseDocument(text);
   if (document.errors.length > 0) {
-    // The library adds a picture of the place below the first line.
+    // Below the first line the library adds an excerpt of the text.
     const messages = document.errors.map(({ message }) => message.split(/:?\n/)[0]!);
     return { problems: messages.map((message) => ({ path: 'yaml', message })) };
   }
   try {
     return checkNote(document.toJS());
   } catch (error) {
-    // Aliases that unfold without bound are refused by the library while it unfolds them.
+    // The library refuses excessive alias expansion while it expands the aliases.
     return { problems: [{ path: 'yaml', message: String(error) }] };
   }
 }
 
-/** Checks what was read from a text against the schema. */
+/** Validates parsed data against the schema of release notes. */
 export function checkNote(data: unknown): Reading {
   const parsed = ReleaseNote.safeParse(data);
   if (parsed.success) return { note: parsed.data };
--- a/src/source/partition.ts
+++ b/src/source/partition.ts
@@ -1,40 +1,40 @@
-/** Splits the resources of a configuration by key range into parts that fit into one value. */
+/** Partitions the resources of a configuration by key range into parts that fit into one value. */
 import { type Resource, resourceKey } from '../contracts.js';
 
-/** Largest part, in bytes of JSON; one call reads it in milliseconds. */
+/** Largest part, in bytes of JSON; small enough to be read within milliseconds. */
 export const MAX_PART_BYTES = 256_000;
-/** Neighbours that are this small together are joined, which bounds the number of parts. */
-const JOIN_BYTES = MAX_PART_BYTES / 4;
+/** Adjacent ranges up to this total size are merged, which limits the number of parts. */
+const MERGE_BYTES = MAX_PART_BYTES / 4;
 
 /**
- * Splits resources, given in key order, at the pivots of the snapshot before: the first keys of
- * its parts. A part whose range saw no change then stays the same to the byte and need not be
- * written again. Were the cuts made anew by size, one insertion would shift all that follow.
+ * Splits resources, given in key order, at the pivots: the first keys of the previous snapshot's
+ * parts. A part whose range has not changed is then identical byte for byte and need not be written
+ * again. Splitting by size instead would let one insertion shift all parts after it.
  */
 export function partition(
   resources: readonly Resource[],
   pivots: readonly string[],
 ): readonly (readonly Resource[])[] {
-  const ranges = cut(resources, pivots);
-  const joined: Resource[][] = [];
+  const ranges = splitAtPivots(resources, pivots);
+  const merged: Resource[][] = [];
   for (const range of ranges) {
-    const last = joined.at(-1);
-    if (last && bytesOf(last) + bytesOf(range) <= JOIN_BYTES) last.push(...range);
-    else joined.push(range);
+    const last = merged.at(-1);
+    if (last && bytesOf(last) + bytesOf(range) <= MERGE_BYTES) last.push(...range);
+    else merged.push(range);
   }
-  return joined.flatMap(split);
+  return merged.flatMap(splitLarge);
 }
 
-function cut(resources: readonly Resource[], pivots: readonly string[]): Resource[][] {
+function splitAtPivots(resources: readonly Resource[], pivots: readonly string[]): Resource[][] {
   const ranges: Resource[][] = [];
-  let upcoming = 0;
+  let nextPivot = 0;
   let range: Resource[] = [];
   for (const resource of resources) {
     const key = resourceKey(resource);
-    while (upcoming < pivots.length && key >= pivots[upcoming]!) {
+    while (nextPivot < pivots.length && key >= pivots[nextPivot]!) {
       if (range.length > 0) ranges.push(range);
       range = [];
-      upcoming += 1;
+      nextPivot += 1;
     }
     range.push(resource);
   }
@@ -42,8 +42,8 @@
   return ranges;
 }
 
-/** Splits a range that has grown too large into parts of about half the largest size. */
-function split(range: Resource[]): Resource[][] {
+/** Splits a range over the largest size into parts of about half of it. */
+function splitLarge(range: Resource[]): Resource[][] {
   if (bytesOf(range) <= MAX_PART_BYTES) return [range];
   const parts: Resource[][] = [];
   let bytes = Infinity;
--- a/src/source/parts.ts
+++ b/src/source/parts.ts
@@ -1,21 +1,21 @@
-/** Pieces of what does not fit into one value of the platform, keyed by their digest. */
+/** Content-addressed storage for parts of data that does not fit into one value of the platform. */
 import PQueue from 'p-queue';
 import { sha256 } from '../configuration/digest.js';
 import { OutcomeError } from '../contracts.js';
 import { type Platform } from '../platform/platform.js';
 
 const PREFIX = 'parts/';
-/** Calls in flight at a time: a platform that serves the whole fleet must not notice one reader. */
+/** Most concurrent calls, so that one reader does not load a platform shared by the whole fleet. */
 const CONCURRENCY = 4;
 
 /**
- * A part never changes and two that are alike are one, so whoever writes one that is there already
- * has nothing to do, and a writer that wakes late can do no harm. Parts are not removed.
+ * Parts are immutable and equal parts share one key, so writing an existing part does nothing and a
+ * writer that resumes late does no harm. Parts are never removed.
  */
 export class Parts {
   constructor(private readonly platform: Platform) {}
 
-  /** Stores texts unless they are there; resolves to their digests, in order. */
+  /** Stores texts that are not stored yet; resolves to the digests of all, in order. */
   async put(texts: readonly string[], deadline: number): Promise<string[]> {
     return inParallel(texts, async (text) => {
       const digest = sha256(text);
--- a/src/source/proposal.ts
+++ b/src/source/proposal.ts
@@ -1,4 +1,4 @@
-/** What operators hand in: a new note, an amendment or a withdrawal. */
+/** Proposals by operators: a new note, an amendment or a withdrawal. */
 import { type Configuration } from '../configuration/configuration.js';
 import { digestOf } from '../configuration/digest.js';
 import { type Action, type Problem, type ReleaseNote } from '../contracts.js';
@@ -9,31 +9,31 @@
   evaluateWithdrawal,
   type Evaluation,
 } from './evaluate.js';
-import { type Mention } from './note_index.js';
+import { type IndexedVersion } from './note_index.js';
 
-/** One thing to be accepted as the next version, or refused. */
+/** A request to accept a change as the next version. */
 export abstract class Proposal {
   abstract readonly action: Action;
 
-  /** Id of the release note it is about. */
+  /** Id of the release note. */
   abstract readonly note: string;
 
   abstract readonly author: string;
 
-  /** Digest of what was handed in; handing the same in again is recognised by it. */
+  /** Digest of the proposal, by which a repeat is recognised. */
   abstract readonly content: string;
 
-  /** The version its author looked at, if the note says so. */
+  /** The version that the note was written against, if the note names one. */
   readonly base: number | undefined = undefined;
 
-  /** Why it cannot follow `latest`, the note's latest version, if it cannot. */
-  abstract misplaced(latest: Mention | undefined): Problem | undefined;
+  /** Why the proposal cannot follow `latest`, the note's latest version; undefined if it can. */
+  abstract preconditionProblem(latest: IndexedVersion | undefined): Problem | undefined;
 
-  /** Works out its change; `effect` is what the note has done so far, if it was accepted before. */
+  /** Computes the change; `effect` is what an already accepted note has changed so far. */
   abstract evaluate(configuration: Configuration, effect: Effect | undefined): Evaluation;
 }
 
-/** A proposal that carries a whole release note. */
+/** A proposal that contains a whole release note. */
 abstract class NoteProposal extends Proposal {
   readonly note: string;
 
@@ -43,19 +43,19 @@
 
   override readonly base: number | undefined;
 
-  constructor(protected readonly text: ReleaseNote) {
+  constructor(protected readonly releaseNote: ReleaseNote) {
     super();
-    this.note = text.id;
-    this.author = text.author;
-    this.content = digestOf(text);
-    this.base = text.base;
+    this.note = releaseNote.id;
+    this.author = releaseNote.author;
+    this.content = digestOf(releaseNote);
+    this.base = releaseNote.base;
   }
 }
 
 export class Submission extends NoteProposal {
   readonly action = 'submit';
 
-  misplaced(latest: Mention | undefined): Problem | undefined {
+  preconditionProblem(latest: IndexedVersion | undefined): Problem | undefined {
     if (!latest) return undefined;
     return {
       path: 'id',
@@ -64,19 +64,19 @@
   }
 
   evaluate(configuration: Configuration): Evaluation {
-    return evaluate(this.text, configuration);
+    return evaluate(this.releaseNote, configuration);
   }
 }
 
 export class Amendment extends NoteProposal {
   readonly action = 'amend';
 
-  misplaced(latest: Mention | undefined): Problem | undefined {
-    return notStanding(latest);
+  preconditionProblem(latest: IndexedVersion | undefined): Problem | undefined {
+    return notActiveProblem(latest);
   }
 
   evaluate(configuration: Configuration, effect: Effect): Evaluation {
-    return evaluateAmendment(this.text, effect, configuration);
+    return evaluateAmendment(this.releaseNote, effect, configuration);
   }
 }
 
@@ -93,8 +93,8 @@
     this.content = digestOf({ withdraw: note });
   }
 
-  misplaced(latest: Mention | undefined): Problem | undefined {
-    return notStanding(latest);
+  preconditionProblem(latest: IndexedVersion | undefined): Problem | undefined {
+    return notActiveProblem(latest);
   }
 
   evaluate(configuration: Configuration, effect: Effect): Evaluation {
@@ -102,8 +102,8 @@
   }
 }
 
-function notStanding(latest: Mention | undefined): Problem | undefined {
-  if (!latest) return { path: 'id', message: 'no note of this id was accepted; submit it' };
+function notActiveProblem(latest: IndexedVersion | undefined): Problem | undefined {
+  if (!latest) return { path: 'id', message: 'no note with this id was accepted; submit it first' };
   if (latest.action !== 'withdraw') return undefined;
   return { path: 'id', message: `was withdrawn by version ${latest.number}; submit a new note` };
 }
--- a/src/source/review.ts
+++ b/src/source/review.ts
@@ -1,18 +1,18 @@
-/** Decides what a proposal would come to on top of the head of the log. */
+/** Decides whether a proposal can be accepted on top of the head of the log. */
 import { type Configuration } from '../configuration/configuration.js';
 import { validate } from '../configuration/validate.js';
 import { OutcomeError, type Problem, type VersionRecord } from '../contracts.js';
 import { type Acceptance, type Accepted, type Conflict } from './acceptance.js';
-import { disturbed, type Effect, type Evaluation, touched } from './evaluate.js';
+import { overwrittenKeys, type Effect, type Evaluation, touchedKeys } from './evaluate.js';
 import { type Head } from './head.js';
 import { type Log } from './log.js';
-import { MAX_VERSIONS, type Mention, type NoteIndex } from './note_index.js';
+import { MAX_VERSIONS, type IndexedVersion, type NoteIndex } from './note_index.js';
 import { type Proposal } from './proposal.js';
 
-/** How many versions before the head a note's `base` may lie; bounds what is read to compare. */
-export const MAX_REACH = 4_096;
+/** How many versions behind the head a note's `base` may be; limits what is read to compare. */
+export const MAX_BASE_LAG = 4_096;
 
-/** A change that may become the next version, and what it would lead to. */
+/** A change that can become the next version, and the resulting configuration. */
 export interface Candidate {
   readonly evaluation: Evaluation;
   readonly configuration: Configuration;
@@ -25,8 +25,8 @@
     private readonly index: NoteIndex,
   ) {}
 
-  /** All versions of a note, oldest first; the head must have caught up. */
-  async versionsOf(note: string, deadline: number): Promise<Mention[]> {
+  /** All versions of a note, oldest first. Requires that the head has caught up. */
+  async versionsOf(note: string, deadline: number): Promise<IndexedVersion[]> {
     const { entries, floor } = this.head;
     const recent = entries.filter((entry) => entry.note === note);
     if (floor === 0) return recent;
@@ -35,8 +35,8 @@
   }
 
   /**
-   * The change to make on top of the head, or the answer if there is none to make. Notes accepted
-   * after version `base` must not touch the same resources.
+   * Resolves to the change to make on top of the head, or to the answer if there is none to make.
+   * It is a conflict if a note accepted after version `base` touched the same resources.
    */
   async decide(
     proposal: Proposal,
@@ -46,18 +46,18 @@
     const versions = await this.versionsOf(proposal.note, deadline);
     const earlier = versions.find(({ content }) => content === proposal.content);
     const latest = versions.at(-1);
-    if (earlier) return this.#repeated(earlier, latest, deadline);
-    const misplaced = this.#misplaced(proposal, base, versions);
-    if (misplaced) return { outcome: 'refused', problems: [misplaced] };
+    if (earlier) return this.#repeatedAcceptance(earlier, latest, deadline);
+    const problem = this.#preconditionProblem(proposal, base, versions);
+    if (problem) return { outcome: 'refused', problems: [problem] };
     const effect = latest && (await this.#effect(latest, deadline));
     const { configuration } = this.head;
-    const taken = effect ? disturbed(effect, configuration) : [];
-    if (latest && taken.length > 0) {
-      const rival = await this.#conflict(proposal.note, latest.number, taken, deadline);
-      return { ...rival, resources: taken };
+    const overwritten = effect ? overwrittenKeys(effect, configuration) : [];
+    if (latest && overwritten.length > 0) {
+      const rival = await this.#conflict(proposal.note, latest.number, overwritten, deadline);
+      return { ...rival, resources: overwritten };
     }
     const evaluation = proposal.evaluate(configuration, effect);
-    const mine = touched(evaluation.change);
+    const mine = touchedKeys(evaluation.change);
     const rival = await this.#conflict(proposal.note, base, mine, deadline);
     if (rival.resources.length > 0) return rival;
     const next = configuration.next(evaluation.change);
@@ -66,27 +66,31 @@
     return { evaluation, configuration: next };
   }
 
-  #misplaced(proposal: Proposal, base: number, versions: readonly Mention[]): Problem | undefined {
+  #preconditionProblem(
+    proposal: Proposal,
+    base: number,
+    versions: readonly IndexedVersion[],
+  ): Problem | undefined {
     const { number } = this.head.configuration;
     if (base > number) {
       return { path: 'base', message: `is ahead of the latest version, ${number}` };
     }
-    if (number - base > MAX_REACH) {
-      const message = `is over ${MAX_REACH} versions back; look at the present state again`;
+    if (number - base > MAX_BASE_LAG) {
+      const message = `is over ${MAX_BASE_LAG} versions behind; check the current configuration`;
       return { path: 'base', message };
     }
     if (versions.length >= MAX_VERSIONS) {
       return { path: 'id', message: `has ${MAX_VERSIONS} versions already; submit a new note` };
     }
-    return proposal.misplaced(versions.at(-1));
+    return proposal.preconditionProblem(versions.at(-1));
   }
 
-  async #repeated(
-    earlier: Mention,
-    latest: Mention | undefined,
+  async #repeatedAcceptance(
+    earlier: IndexedVersion,
+    latest: IndexedVersion | undefined,
     deadline: number,
   ): Promise<Accepted> {
-    const record = await this.#stored(earlier.number, deadline);
+    const record = await this.#recordOf(earlier.number, deadline);
     const isLatest = latest === undefined || latest.number === earlier.number;
     return {
       outcome: 'accepted',
@@ -96,12 +100,12 @@
     };
   }
 
-  async #effect({ number }: Mention, deadline: number): Promise<Effect> {
-    const { version, undo } = await this.#stored(number, deadline);
+  async #effect({ number }: IndexedVersion, deadline: number): Promise<Effect> {
+    const { version, undo } = await this.#recordOf(number, deadline);
     return { change: version.change, undo };
   }
 
-  async #stored(number: number, deadline: number): Promise<VersionRecord> {
+  async #recordOf(number: number, deadline: number): Promise<VersionRecord> {
     const record = await this.log.get(number, deadline);
     if (record) return record;
     throw new OutcomeError(`version ${number} is missing from the log`, {
@@ -110,7 +114,7 @@
     });
   }
 
-  /** What other notes did to those resources after `number`, as far back as it is looked for. */
+  /** The conflict with other notes that touched `resources` after version `number`. */
   async #conflict(
     note: string,
     number: number,
@@ -120,33 +124,33 @@
     const mine = new Set(resources);
     const taken = new Set<string>();
     let rival = '';
-    for await (const version of this.#after(number, deadline)) {
-      const clashes = version.resources.filter((key) => mine.has(key));
-      if (version.note === note || clashes.length === 0) continue;
-      clashes.forEach((key) => taken.add(key));
+    for await (const version of this.#versionsAfter(number, deadline)) {
+      const shared = version.resources.filter((key) => mine.has(key));
+      if (version.note === note || shared.length === 0) continue;
+      shared.forEach((key) => taken.add(key));
       rival = version.note;
     }
     return { outcome: 'conflict', resources: [...taken].sort(), note: rival };
   }
 
-  /** Versions after `number`: those that are not remembered are read, page by page. */
-  async *#after(number: number, deadline: number): AsyncGenerator<Footprint> {
+  /** Versions after `number`; those no longer in memory are read from the log, page by page. */
+  async *#versionsAfter(number: number, deadline: number): AsyncGenerator<Footprint> {
     const { floor, entries } = this.head;
-    let after = Math.max(number, this.head.configuration.number - MAX_REACH);
+    let after = Math.max(number, this.head.configuration.number - MAX_BASE_LAG);
     while (after < floor) {
       const page = await this.log.read(after, deadline);
       if (page.length === 0) break;
       after += page.length;
       for (const { version } of page) {
         if (version.number > floor) break;
-        yield { note: version.note, resources: touched(version.change) };
+        yield { note: version.note, resources: touchedKeys(version.change) };
       }
     }
     yield* entries.filter((entry) => entry.number > number);
   }
 }
 
-/** Which note touched which resources. */
+/** The resources that a version of a note touched. */
 interface Footprint {
   readonly note: string;
   readonly resources: readonly string[];
--- a/src/source/snapshots.ts
+++ b/src/source/snapshots.ts
@@ -1,4 +1,4 @@
-/** Whole configurations stored now and then, so that nobody has to replay the whole log. */
+/** Snapshots of the configuration, which save a starting process from replaying the whole log. */
 import * as z from 'zod';
 import { sha256 } from '../configuration/digest.js';
 import {
@@ -27,8 +27,8 @@
   }
 
   /**
-   * The latest snapshot if it is further than `after`. Undefined as well if it is damaged: the log
-   * holds all that it would say, only at a higher cost.
+   * The latest snapshot, if it is of a version later than `after`. Also undefined if it is damaged:
+   * replaying the log then gives the same configuration at a higher cost.
    */
   async load(after: number, deadline: number): Promise<Snapshot | undefined> {
     const latest = await this.#latest(deadline);
@@ -42,16 +42,16 @@
   }
 
   /**
-   * Stores a snapshot unless a later one is there; resolves to the number of the latest. The
-   * record is replaced only by a conditional update, so a writer that was paused and wakes late
-   * finds its number overtaken and cannot take anyone back.
+   * Stores a snapshot unless one of the same or a later version exists; resolves to the number of
+   * the latest. The record is replaced by conditional updates only, so a writer that was paused and
+   * resumes late cannot replace a later snapshot.
    */
   async publish(snapshot: Snapshot, deadline: number): Promise<number> {
     for (;;) {
       const latest = await this.#latest(deadline);
-      const overtaken = latest?.record?.number ?? 0;
-      if (overtaken >= snapshot.number) return overtaken;
-      const record = await this.#store(snapshot, latest?.record, deadline);
+      const published = latest?.record?.number ?? 0;
+      if (published >= snapshot.number) return published;
+      const record = await this.#writeParts(snapshot, latest?.record, deadline);
       const value = JSON.stringify(record);
       const written = latest
         ? await this.platform.update(KEY, value, latest.stored.revision, deadline)
@@ -62,16 +62,16 @@
 
   async #latest(deadline: number): Promise<Latest | undefined> {
     const stored = await this.platform.get(KEY, deadline);
-    return stored && { stored, record: parse(stored.value) };
+    return stored && { stored, record: parseRecord(stored.value) };
   }
 
   async #read(record: SnapshotRecord, deadline: number): Promise<Snapshot> {
     const { number, digest, parent, parts } = record;
-    // A snapshot of another chain would be applied whole, and every later version refused. The
-    // log's own record of that number tells it apart before it is used.
+    // A snapshot of another chain would be applied, and every later version then refused. Comparing
+    // it with the log's record of the same number detects this before it is used.
     const accepted = await this.log.get(number, deadline);
     if (accepted?.version.digest !== digest || accepted.version.parent !== parent) {
-      const message = `the snapshot is not of version ${number} of this log`;
+      const message = `snapshot does not match version ${number} of this log`;
       throw new OutcomeError(message, { verdict: 'not-run', reason: 'corrupt' });
     }
     const digests = parts.map((part) => part.digest);
@@ -80,22 +80,22 @@
     return { number, digest, parent, resources };
   }
 
-  /** Writes those parts that the record before does not list. */
-  async #store(
+  /** Writes the parts that the previous record does not list; resolves to the new record. */
+  async #writeParts(
     { number, digest, parent, resources }: Snapshot,
-    before: SnapshotRecord | undefined,
+    previous: SnapshotRecord | undefined,
     deadline: number,
   ): Promise<SnapshotRecord> {
-    const pivots = before?.parts.map((part) => part.from) ?? [];
+    const pivots = previous?.parts.map((part) => part.from) ?? [];
     const groups = partition(resources, pivots);
-    const known = new Set(before?.parts.map((part) => part.digest));
+    const known = new Set(previous?.parts.map((part) => part.digest));
     const listed = groups.map((group) => {
       const text = JSON.stringify(group);
       return { from: resourceKey(group[0]!), digest: sha256(text), text };
     });
-    const fresh = listed.filter((part) => !known.has(part.digest));
+    const missing = listed.filter((part) => !known.has(part.digest));
     await this.#parts.put(
-      fresh.map((part) => part.text),
+      missing.map((part) => part.text),
       deadline,
     );
     const parts = listed.map((part) => ({ from: part.from, digest: part.digest }));
@@ -105,11 +105,11 @@
 
 interface Latest {
   readonly stored: Stored;
-  /** Undefined if it cannot be read; the next snapshot then takes its place. */
+  /** Undefined if it cannot be parsed; the next snapshot then replaces it. */
   readonly record: SnapshotRecord | undefined;
 }
 
-function parse(text: string): SnapshotRecord | undefined {
+function parseRecord(text: string): SnapshotRecord | undefined {
   try {
     return SnapshotRecord.parse(JSON.parse(text));
   } catch {
--- a/src/source/source.ts
+++ b/src/source/source.ts
@@ -1,4 +1,4 @@
-/** Acceptance: turns release notes into versions of the log. */
+/** Accepts release notes as versions of the log. */
 import PQueue from 'p-queue';
 import {
   type Action,
@@ -15,29 +15,29 @@
 import { type Acceptance, type Check, type Conflict, type Refused } from './acceptance.js';
 import { Appender } from './appender.js';
 import { Audit, TRAIL_START } from './audit.js';
-import { touched } from './evaluate.js';
+import { touchedKeys } from './evaluate.js';
 import { Head } from './head.js';
-import { Log, PAGE } from './log.js';
+import { Log, PAGE_SIZE } from './log.js';
 import { Amendment, type Proposal, Submission, Withdrawal } from './proposal.js';
 import { NoteIndex } from './note_index.js';
-import { Publisher, SNAPSHOT_EVERY } from './publisher.js';
+import { Publisher, VERSIONS_PER_SNAPSHOT } from './publisher.js';
 import { Refusals } from './refusals.js';
 import { type Candidate, Review } from './review.js';
 import { Snapshots } from './snapshots.js';
 
-/** Who hands in what; as much as can be read from a text that is not a release note. */
+/** Action, note id and author of a proposal, also for a text that is not a valid release note. */
 export type Attempt = Pick<Proposal, 'action' | 'note' | 'author'>;
 
-/** Proposals that wait at one process; more are turned away. */
+/** Most proposals queued at one process; more are refused. */
 const MAX_WAITING = 64;
 
 /**
- * Accepts release notes by creating the next version if absent. Any process may do it, several at
- * once: the platform admits one record under each number. Within a process proposals go one at a
- * time, since two that race each other would only cost calls.
+ * Accepts release notes by creating the next version if absent. Any number of processes may do so
+ * concurrently, since the platform stores one record under each number. Within a process proposals
+ * are handled one at a time, because a race between two would only cost additional calls.
  */
 export class Source implements AsyncDisposable {
-  /** What became of the notes handed in here, and how many refusals could not be audited. */
+  /** Results of the proposals to this process, and refusals missing from the audit trail. */
   readonly counts = { accepted: 0, repeated: 0, refused: 0, conflict: 0, unaudited: 0 };
 
   readonly #log: Log;
@@ -60,7 +60,7 @@
     platform: Platform,
     private readonly clock: Clock,
     private readonly random: Random,
-    snapshotEvery = SNAPSHOT_EVERY,
+    snapshotEvery = VERSIONS_PER_SNAPSHOT,
   ) {
     const log = new Log(platform);
     this.#log = log;
@@ -74,57 +74,57 @@
     this.#audit = new Audit(log, this.#refusals);
   }
 
-  /** Accepts a note that was not handed in before, or answers as it did the first time. */
+  /** Accepts a new note; a repeat of an accepted note gets the record of its acceptance. */
   submit(note: ReleaseNote, deadline: number): Promise<Acceptance> {
-    return this.#handIn(new Submission(note), deadline);
+    return this.#propose(new Submission(note), deadline);
   }
 
-  /** Replaces what the note of the same id has done by what this one says, as one version. */
+  /** Undoes what the note with the same id has changed and applies this one, as one version. */
   amend(note: ReleaseNote, deadline: number): Promise<Acceptance> {
-    return this.#handIn(new Amendment(note), deadline);
+    return this.#propose(new Amendment(note), deadline);
   }
 
-  /** Takes back what a note has done, as a new version. */
+  /** Undoes what a note has changed, as a new version. */
   withdraw(note: string, author: string, deadline: number): Promise<Acceptance> {
-    return this.#handIn(new Withdrawal(note, author), deadline);
+    return this.#propose(new Withdrawal(note, author), deadline);
   }
 
-  /** What `submit`, or `amend`, would answer now; nothing is written. */
+  /** What `submit` or `amend` would answer now; writes nothing. */
   async check(note: ReleaseNote, action: 'submit' | 'amend', deadline: number): Promise<Check> {
     const proposal = action === 'amend' ? new Amendment(note) : new Submission(note);
-    return this.#inTurn(async () => {
+    return this.#enqueue(async () => {
       await this.#head.catchUp(deadline);
       const { number } = this.#head.configuration;
       const decision = await this.#review.decide(proposal, proposal.base ?? number, deadline);
       if ('outcome' in decision) return decision;
-      return { outcome: 'valid', head: number, resources: touched(decision.evaluation.change) };
+      return { outcome: 'valid', head: number, resources: touchedKeys(decision.evaluation.change) };
     });
   }
 
-  /** Refuses what was handed in for the problems found in its text, and audits that. */
+  /** Refuses a proposal for the problems found in its text, and writes that to the audit trail. */
   refuse(attempt: Attempt, problems: readonly Problem[]): Promise<Refused> {
-    return this.#audited(attempt, { outcome: 'refused', problems });
+    return this.#recordRefusal(attempt, { outcome: 'refused', problems });
   }
 
-  /** Reads the audit trail, in time order, from its start or from a cursor. */
+  /** Reads a page of the audit trail, in time order, from its start or from a cursor. */
   history(deadline: number, cursor: AuditCursor = TRAIL_START): Promise<AuditPage> {
     return this.#audit.page(cursor, deadline);
   }
 
-  /** The last `count` records of the log, oldest first, none up to version `after`. */
+  /** The last `count` records of the log after version `after`, oldest first. */
   async recent(after: number, count: number, deadline: number): Promise<VersionRecord[]> {
     let records: VersionRecord[] = [];
     for (let read = after; ;) {
       const page = await this.#log.read(read, deadline);
       records = [...records, ...page].slice(-count);
-      if (page.length < PAGE) return records;
+      if (page.length < PAGE_SIZE) return records;
       read += page.length;
     }
   }
 
   /** The last `count` records of one note, oldest first. */
   versionsOf(note: string, count: number, deadline: number): Promise<VersionRecord[]> {
-    return this.#inTurn(async () => {
+    return this.#enqueue(async () => {
       await this.#head.catchUp(deadline);
       const versions = await this.#review.versionsOf(note, deadline);
       const records = versions.slice(-count).map(({ number }) => this.#log.get(number, deadline));
@@ -132,37 +132,38 @@
     });
   }
 
-  /** Waits for what was handed in, and for a snapshot that is being published. */
+  /** Waits for pending proposals, and for a snapshot that is being published. */
   async [Symbol.asyncDispose](): Promise<void> {
     await this.#queue.onIdle();
   }
 
-  async #handIn(proposal: Proposal, deadline: number): Promise<Acceptance> {
-    const acceptance = await this.#inTurn(() => this.#accept(proposal, deadline));
-    if (acceptance.outcome !== 'accepted') return this.#audited(proposal, acceptance);
+  async #propose(proposal: Proposal, deadline: number): Promise<Acceptance> {
+    const acceptance = await this.#enqueue(() => this.#accept(proposal, deadline));
+    if (acceptance.outcome !== 'accepted') return this.#recordRefusal(proposal, acceptance);
     this.counts[acceptance.repeated ? 'repeated' : 'accepted'] += 1;
-    // After the answer, in the same queue: nothing else moves the head while it is published.
+    // In the same queue, so that nothing else changes the head during the publication; not awaited,
+    // so that the answer does not wait for it.
     if (this.#publisher.isDue) void this.#queue.add(() => this.#publisher.publish());
     return acceptance;
   }
 
-  #inTurn<T>(task: () => Promise<T>): Promise<T> {
+  #enqueue<T>(task: () => Promise<T>): Promise<T> {
     if (this.#queue.size < MAX_WAITING) return this.#queue.add(task);
-    const message = `${MAX_WAITING} others wait here; hand the note in again later`;
+    const message = `${MAX_WAITING} proposals are queued at this process; try again later`;
     throw new OutcomeError(message, { verdict: 'not-run', reason: 'busy' });
   }
 
   async #accept(proposal: Proposal, deadline: number): Promise<Acceptance> {
-    await beforeWriting(this.#head.catchUp(deadline));
+    await readBeforeWriting(this.#head.catchUp(deadline));
     const nonce = this.random.nonce();
     const base = proposal.base ?? this.#head.configuration.number;
     for (;;) {
-      const decision = await beforeWriting(this.#review.decide(proposal, base, deadline));
+      const decision = await readBeforeWriting(this.#review.decide(proposal, base, deadline));
       if ('outcome' in decision) return decision;
       const record = this.#record(proposal, nonce, decision);
       const isMine = await this.#appender.append(record, deadline);
       if (isMine) this.#head.advance(record);
-      else await beforeWriting(this.#head.catchUp(deadline));
+      else await readBeforeWriting(this.#head.catchUp(deadline));
       if (isMine) return { outcome: 'accepted', record, repeated: false };
     }
   }
@@ -180,7 +181,7 @@
     return { version, action, author, nonce, content, undo };
   }
 
-  async #audited<T extends Refused | Conflict>(attempt: Attempt, refusal: T): Promise<T> {
+  async #recordRefusal<T extends Refused | Conflict>(attempt: Attempt, refusal: T): Promise<T> {
     const { action, author, note } = attempt;
     const { outcome } = refusal;
     this.counts[outcome] += 1;
@@ -201,10 +202,10 @@
 }
 
 /**
- * A read without an answer says that it may have run, and so it may. The note was not accepted by
- * it: either nothing was written yet, or another record holds the number for good.
+ * Turns the failure of a read into `not-run`. The read itself may have run, but the note was not
+ * accepted: either nothing was written yet, or another record took the number.
  */
-async function beforeWriting<T>(reading: Promise<T>): Promise<T> {
+async function readBeforeWriting<T>(reading: Promise<T>): Promise<T> {
   try {
     return await reading;
   } catch (error) {
@@ -214,7 +215,7 @@
   }
 }
 
-/** Who and what a text that is no release note speaks of, as far as it says so. */
+/** Author and note id from data that is not a valid release note; `unknown` where it has none. */
 export function attemptOf(action: Action, data: unknown): Attempt {
   const fields = typeof data === 'object' && data !== null ? data : {};
   const text = (name: string) => {
--- a/src/test/claims/claims_test.ts
+++ b/src/test/claims/claims_test.ts
@@ -219,7 +219,7 @@
           new UnsteadyPlatform(store, clock, new SeededRandom(from + process), unsteadiness),
       );
       const processes = platforms.map((platform, index) => claimsOf(`process-${index}`, platform));
-      const perform = async ({ atMs, process, key, fate }: PlannedRequest) => {
+      const perform = async ({ atMs, process, key, behaviour }: PlannedRequest) => {
         await clock.sleepUntil(clock.now() + atMs);
         const platform = platforms[process]!;
         if (platform.hasCrashed) return;
@@ -227,10 +227,10 @@
         const before = runs.get(key) ?? 0;
         if (answer.startsWith('replay')) expect(before).to.equal(1);
         if (!claim) return;
-        if (fate === 'paused') await clock.sleepUntil(clock.now() + TIMEOUT_MS);
-        if (fate === 'crashes before the run') platform.hasCrashed = true;
+        if (behaviour === 'paused') await clock.sleepUntil(clock.now() + TIMEOUT_MS);
+        if (behaviour === 'crashes before the run') platform.hasCrashed = true;
         if (platform.hasCrashed) return;
-        if (fate === 'not run') await claim[Symbol.asyncDispose]();
+        if (behaviour === 'not run') await claim[Symbol.asyncDispose]();
         try {
           claim.start();
         } catch (error) {
@@ -239,7 +239,7 @@
         }
         runs.set(key, (runs.get(key) ?? 0) + 1);
         await clock.sleepUntil(clock.now() + 20);
-        if (fate === 'crashes after the run') platform.hasCrashed = true;
+        if (behaviour === 'crashes after the run') platform.hasCrashed = true;
         claim.settle(OUTCOME);
       };
       await advanceUntilDone(Promise.all(schedule.map(perform)));
@@ -253,14 +253,14 @@
   readonly atMs: number;
   readonly process: number;
   readonly key: string;
-  readonly fate: string;
+  readonly behaviour: string;
 }
 
 const PLANNED_REQUEST = fc.record({
   atMs: fc.integer({ min: 0, max: 4_000 }),
   process: fc.integer({ min: 0, max: 2 }),
   key: fc.constantFrom('k-1', 'k-2'),
-  fate: fc.constantFrom(
+  behaviour: fc.constantFrom(
     'runs',
     'runs',
     'not run',
--- a/src/test/source/audit_test.ts
+++ b/src/test/source/audit_test.ts
@@ -18,7 +18,7 @@
 }
 
 describe('Audit', () => {
-  it('tells who did what, when, and how it ended', async () => {
+  it('records who did what, when and with which outcome', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     const step = () => fixture.time.tick(1_000);
@@ -36,7 +36,7 @@
     expect(renderAudit(await trail(fixture.source(), fixture))).toMatchSnapshot();
   });
 
-  it('writes nothing for a refused note but the refusal', async () => {
+  it('writes only the refusal for a refused note', async () => {
     using fixture = new Fixture();
     const refused = await fixture.source().submit(note('nothing', {}), fixture.deadline);
     expect(refused).toMatchSnapshot();
@@ -45,7 +45,7 @@
     expect(fixture.store.calls.writes).to.equal(1);
   });
 
-  it('bounds the size of a refusal', async () => {
+  it('limits the size of a refusal', async () => {
     using fixture = new Fixture();
     const problems = Array.from({ length: 1_000 }, (_, index) => ({
       path: `route/${index}`.repeat(MAX_NAME_LENGTH),
@@ -58,9 +58,8 @@
     expect([entry?.author, entry?.note, entry?.omitted]).to.deep.equal(['unknown', 'unknown', 950]);
   });
 
-  // The operator hands in a bad note while the platform is down. The refusal is told at once all
-  // the same, says that it is not in the trail, and the process counts it, so that a trail with
-  // gaps does not pass for a whole one.
+  // The platform is down when a note is refused. The answer must be given all the same and, like
+  // the counts, show the missing entry, or an incomplete trail would seem complete.
   it('answers and counts a refusal that cannot be audited', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
--- a/src/test/source/faults_test.ts
+++ b/src/test/source/faults_test.ts
@@ -1,20 +1,20 @@
 import { expect } from 'chai';
 import { OutcomeError, type ReleaseNote } from '../../contracts.js';
 import { type Acceptance } from '../../source/acceptance.js';
-import { brief, Fixture, note, OPENING, PATIENCE_MS, upstreams } from './fixture.js';
-import { type Fate, UnsteadyPlatform } from './unsteady_platform.js';
+import { brief, Fixture, note, OPENING, TIMEOUT_MS, upstreams } from './fixture.js';
+import { type Behaviour, UnsteadyPlatform } from './unsteady_platform.js';
 
-/** A source whose next calls meet these fates: first it reads the log's snapshot, then the log. */
-function unsteady(fixture: Fixture, ...fates: Fate[]) {
+/** A source whose next calls behave like this; it reads the snapshot first, then the log. */
+function unsteady(fixture: Fixture, ...behaviours: Behaviour[]) {
   const platform = new UnsteadyPlatform(fixture.store, fixture.clock);
-  platform.steps = fates.map((fate) => ({ fate, delayMs: 1 }));
+  platform.steps = behaviours.map((behaviour) => ({ behaviour, delayMs: 1 }));
   return { platform, source: fixture.source(platform) };
 }
 
-/** What the operator is told, be it an answer or an error. */
-async function told(fixture: Fixture, acceptance: Promise<Acceptance>): Promise<unknown> {
+/** The answer or error that the operator gets. */
+async function answerTo(fixture: Fixture, acceptance: Promise<Acceptance>): Promise<unknown> {
   try {
-    return brief(await fixture.settled(acceptance));
+    return brief(await fixture.advanceUntilSettled(acceptance));
   } catch (error) {
     if (!(error instanceof OutcomeError)) throw error;
     const { verdict, reason, message } = error;
@@ -22,77 +22,78 @@
   }
 }
 
-const READS: Fate[] = ['ok', 'ok'];
+const READS: Behaviour[] = ['ok', 'ok'];
 
 describe('Source under faults', () => {
-  // The write of a version takes effect, but its answer is lost on the way back. The operator waits
-  // a moment longer and sees the note accepted, once, because the record is read back.
-  it('settles a lost answer by reading back', async () => {
+  // The write of a version takes effect, but its answer is lost. Without reading the record back,
+  // the note would be reported as not accepted or be accepted twice.
+  it('resolves a lost answer by reading the record back', async () => {
     using fixture = new Fixture();
     const { source } = unsteady(fixture, ...READS, 'lost');
-    expect(await told(fixture, source.submit(OPENING, fixture.deadline))).toMatchSnapshot();
+    expect(await answerTo(fixture, source.submit(OPENING, fixture.deadline))).toMatchSnapshot();
     expect(await fixture.records()).to.have.length(1);
   });
 
-  // The write is dropped, or delivered seconds later, and either way nothing is heard of it. The
-  // source finds no record and writes the same again. The late one then meets a number taken.
-  for (const fate of ['dropped', 'late'] as const) {
-    it(`sends a write again that was ${fate}`, async () => {
+  // The write is dropped, or takes effect seconds later, without an answer. The source finds no
+  // record and resends the write; the late one must not create a second version.
+  for (const behaviour of ['dropped', 'late'] as const) {
+    it(`resends a write that was ${behaviour}`, async () => {
       using fixture = new Fixture();
-      const { source } = unsteady(fixture, ...READS, fate);
-      expect(await told(fixture, source.submit(OPENING, fixture.deadline))).toMatchSnapshot();
+      const { source } = unsteady(fixture, ...READS, behaviour);
+      expect(await answerTo(fixture, source.submit(OPENING, fixture.deadline))).toMatchSnapshot();
       await fixture.time.tickAsync(5_000);
       expect(await fixture.records()).to.have.length(1);
     });
   }
 
-  // The write takes effect, its answer is lost, and the platform is gone until after the deadline.
-  // The operator is told that it may have been accepted, hands the same in again, and learns that
-  // it was.
-  it('says that it cannot tell, and can tell when asked again', async () => {
+  // The write takes effect, its answer is lost, and the platform is down until after the deadline.
+  // The source must not claim either result; submitting the note again must not accept it twice.
+  it('reports an unknown result, and the result when the note is submitted again', async () => {
     using fixture = new Fixture();
     const { source, platform } = unsteady(fixture, ...READS, 'lost');
-    const submitted = told(fixture, source.submit(OPENING, fixture.deadline));
+    const submitted = answerTo(fixture, source.submit(OPENING, fixture.deadline));
     platform.steps.push(
-      ...Array<{ fate: Fate; delayMs: number }>(200).fill({ fate: 'refused', delayMs: 20 }),
+      ...Array<{ behaviour: Behaviour; delayMs: number }>(200).fill({
+        behaviour: 'refused',
+        delayMs: 20,
+      }),
     );
     const first = await submitted;
     platform.steps = [];
-    const again = await told(fixture, source.submit(OPENING, fixture.deadline));
+    const again = await answerTo(fixture, source.submit(OPENING, fixture.deadline));
     expect([first, again]).toMatchSnapshot();
     expect(await fixture.records()).to.have.length(1);
   });
 
-  // The platform is down, or slower than the operator waits, before anything was written. The
-  // operator is told that the note was not accepted, and nothing of it is in the platform.
+  // The platform is down, or slower than the deadline, before anything was written. The answer must
+  // be a definite not-run, and nothing of the note may be stored.
   for (const [name, faults] of Object.entries({ down: { down: true }, slow: { slowMs: 60_000 } })) {
-    it(`says that nothing was accepted while the platform is ${name}`, async () => {
+    it(`reports that nothing was accepted while the platform is ${name}`, async () => {
       using fixture = new Fixture();
       Object.assign(fixture.store.faults, faults);
       const source = fixture.source();
-      const answer = await told(fixture, source.submit(OPENING, fixture.deadline));
+      const answer = await answerTo(fixture, source.submit(OPENING, fixture.deadline));
       Object.assign(fixture.store.faults, { down: false, slowMs: 0 });
       expect(answer).toMatchSnapshot();
       expect(await fixture.store.list({ prefix: '' }, fixture.deadline)).to.deep.equal([]);
     });
   }
 
-  // A change over the value limit is stored in parts first, and the platform fails in between. The
-  // parts put nothing in force, so the operator hears that the note was not accepted.
-  it('says that nothing was accepted when only parts were written', async () => {
+  // The platform fails after the parts of a large change were stored and before its record. Parts
+  // alone have no effect, so the answer must be not-run rather than may-have-run.
+  it('reports that nothing was accepted when only parts were written', async () => {
     using fixture = new Fixture();
     const { source } = unsteady(fixture, ...READS, 'ok', 'lost');
     const about = 'x'.repeat(1_000);
     const names = Array.from({ length: 600 }, (_, index) => `u${index}`);
     const large = note('large', { add: { upstreams: names.map((name) => ({ name, about })) } });
-    expect(await told(fixture, source.submit(large, fixture.deadline))).toMatchSnapshot();
+    expect(await answerTo(fixture, source.submit(large, fixture.deadline))).toMatchSnapshot();
     expect(await fixture.records()).to.deep.equal([]);
   });
 
-  // A writer is paused just before its write and wakes when another note is in force. Its number
-  // is taken, so it starts over on the new head: accepted if the resources are disjoint, a typed
-  // conflict if they are not, and if its operator has given up by then, nothing at all.
-  const late: Record<string, { rival: ReleaseNote; pausedMs: number }> = {
+  // A writer is paused right before its write while another note takes its number. It must decide
+  // again on the new head: accept disjoint resources, report a conflict, or stop at its deadline.
+  const lateWriters: Record<string, { rival: ReleaseNote; pausedMs: number }> = {
     'on disjoint resources': {
       rival: note('rival', { add: upstreams('bookings') }),
       pausedMs: 500,
@@ -103,19 +104,19 @@
     },
     'after its deadline': {
       rival: note('rival', { add: upstreams('bookings') }),
-      pausedMs: 2 * PATIENCE_MS,
+      pausedMs: 2 * TIMEOUT_MS,
     },
   };
-  for (const [name, { rival, pausedMs }] of Object.entries(late)) {
-    it(`lets a paused writer do no harm that wakes late ${name}`, async () => {
+  for (const [name, { rival, pausedMs }] of Object.entries(lateWriters)) {
+    it(`decides again for a paused writer that resumes late ${name}`, async () => {
       using fixture = new Fixture();
       const { source, platform } = unsteady(fixture);
-      const step = { fate: 'ok', delayMs: 1 } as const;
-      platform.steps = [step, step, { fate: 'ok', delayMs: pausedMs }];
+      const step = { behaviour: 'ok', delayMs: 1 } as const;
+      platform.steps = [step, step, { behaviour: 'ok', delayMs: pausedMs }];
       const paused = source.submit(OPENING, fixture.deadline);
       await fixture.time.tickAsync(100);
       await fixture.source().submit(rival, fixture.deadline);
-      expect(await told(fixture, paused)).toMatchSnapshot();
+      expect(await answerTo(fixture, paused)).toMatchSnapshot();
       const notes = (await fixture.records()).map(({ version }) => version.note);
       expect(notes).to.deep.equal(
         pausedMs < 1_000 && name.includes('disjoint') ? ['rival', 'opening'] : ['rival'],
@@ -123,9 +124,8 @@
     });
   }
 
-  // Two operators hand in notes at the same moment, at two processes. Both create the same number;
-  // the platform admits one. The other is rebased where the two touch disjoint resources and the
-  // outcome validates; else it is refused, by resource or by path.
+  // Two processes create the same version number at once. The loser must be rebased if
+  // resources are disjoint and the result is valid, and otherwise refused by resource or by path.
   const races: Record<string, [ReleaseNote, ReleaseNote]> = {
     'disjoint notes': [note('a', { add: upstreams('a') }), note('b', { add: upstreams('b') })],
     'the same resource': [note('a', { add: upstreams('a') }), note('b', { add: upstreams('a') })],
@@ -143,7 +143,7 @@
       const [one, other] = racers.map(({ source }, index) =>
         source.submit(index === 0 ? first : second, fixture.deadline),
       );
-      expect([await told(fixture, one!), await told(fixture, other!)]).toMatchSnapshot();
+      expect([await answerTo(fixture, one!), await answerTo(fixture, other!)]).toMatchSnapshot();
     });
   }
 });
--- a/src/test/source/fixture.ts
+++ b/src/test/source/fixture.ts
@@ -1,4 +1,4 @@
-/** What the tests of acceptance share: a platform in memory and time that only tests move. */
+/** Shared by the tests of acceptance: an in-memory platform and fake time. */
 import { install } from '@sinonjs/fake-timers';
 import { Configuration } from '../../configuration/configuration.js';
 import { ReleaseNote, type ReleaseNoteInput, type VersionRecord } from '../../contracts.js';
@@ -7,12 +7,12 @@
 import { SeededRandom } from '../../runtime/random.js';
 import { Log } from '../../source/log.js';
 import { type Acceptance } from '../../source/acceptance.js';
-import { SNAPSHOT_EVERY } from '../../source/publisher.js';
+import { VERSIONS_PER_SNAPSHOT } from '../../source/publisher.js';
 import { Source } from '../../source/source.js';
 import { PlatformStore } from '../../standins/platform_store.js';
 
 export const START = Date.UTC(2026, 11, 2);
-export const PATIENCE_MS = 2_000;
+export const TIMEOUT_MS = 2_000;
 
 export class Fixture implements Disposable {
   readonly time = install({
@@ -29,24 +29,24 @@
   #seed = 0;
 
   get deadline(): number {
-    return this.clock.now() + PATIENCE_MS;
+    return this.clock.now() + TIMEOUT_MS;
   }
 
-  /** Another source over the same platform, as in another process. */
-  source(platform: Platform = this.store, snapshotEvery = SNAPSHOT_EVERY): Source {
+  /** Creates another source over the same platform, as another process would have. */
+  source(platform: Platform = this.store, snapshotEvery = VERSIONS_PER_SNAPSHOT): Source {
     this.#seed += 1;
     return new Source(platform, this.clock, new SeededRandom(this.#seed), snapshotEvery);
   }
 
-  /** The outcome of `promise`, with time moved on for as long as it takes. */
-  async settled<T>(promise: Promise<T>): Promise<T> {
-    let isOver = false;
-    const over = promise.finally(() => {
-      isOver = true;
+  /** Advances the time until `promise` settles, and returns its result. */
+  async advanceUntilSettled<T>(promise: Promise<T>): Promise<T> {
+    let isSettled = false;
+    const settled = promise.finally(() => {
+      isSettled = true;
     });
-    over.catch(() => {});
-    while (!isOver) await this.time.tickAsync(50);
-    return over;
+    settled.catch(() => {});
+    while (!isSettled) await this.time.tickAsync(50);
+    return settled;
   }
 
   async records(): Promise<VersionRecord[]> {
@@ -58,7 +58,7 @@
     }
   }
 
-  /** Writes so many versions that change nothing, as notes `filler-1` and on. */
+  /** Writes `count` versions without changes, as notes `filler-1`, `filler-2` and so on. */
   async fill(count: number): Promise<void> {
     let configuration = Configuration.empty;
     const change = { put: [], remove: [] };
@@ -73,7 +73,7 @@
     }
   }
 
-  /** Names of the resources held after the last version. */
+  /** The resources of the latest version, as text. */
   async held(): Promise<string[]> {
     let configuration = Configuration.empty;
     for (const { version } of await this.records())
@@ -92,7 +92,7 @@
   return ReleaseNote.parse({ id, author: 'dana', ...sections });
 }
 
-/** The note that the others build on: one upstream with one route. */
+/** The first note of most tests: one upstream with one route. */
 export const OPENING = note('opening', {
   add: {
     upstreams: [{ name: 'listings' }],
@@ -104,7 +104,7 @@
   return { upstreams: names.map((name) => ({ name })) };
 }
 
-/** The parts of an answer that do not hang on digests and nonces. */
+/** The fields of an answer that do not depend on digests and nonces. */
 export function brief(acceptance: Acceptance) {
   if (acceptance.outcome !== 'accepted') return acceptance;
   const { record, ...rest } = acceptance;
--- a/src/test/source/interleavings_test.ts
+++ b/src/test/source/interleavings_test.ts
@@ -6,35 +6,35 @@
 import { OutcomeError, type ReleaseNote } from '../../contracts.js';
 import { type Acceptance } from '../../source/acceptance.js';
 import { type Source } from '../../source/source.js';
-import { brief, Fixture, note, PATIENCE_MS } from './fixture.js';
+import { brief, Fixture, note, TIMEOUT_MS } from './fixture.js';
 import { type Step, UnsteadyPlatform } from './unsteady_platform.js';
 
 const SEED = 20_261_202;
 const RUNS = 200;
 const SOURCES = 3;
-/** Short enough that some operators are left without an answer, in milliseconds. */
-const HASTE_MS = 600;
-/** Few, so that the runs see snapshots, trimmed heads and the index of notes. */
-const SNAPSHOT_EVERY = 3;
+/** Short enough that some proposals get no answer, in milliseconds. */
+const SHORT_TIMEOUT_MS = 600;
+/** Few, so that the runs include snapshots, trimmed heads and the index of notes. */
+const VERSIONS_PER_SNAPSHOT = 3;
 
-/** One note handed in at one process while its platform misbehaves. */
+/** One proposal to one process whose calls to the platform may fail. */
 interface Attempt {
   readonly at: number;
   readonly action: 'submit' | 'amend' | 'withdraw';
   readonly note: string;
-  /** Resources of the note: an upstream, and perhaps a route that leads to another one. */
+  /** Resources of the note: an upstream, and optionally a route to another upstream. */
   readonly upstream: string;
   readonly routeTo: string | undefined;
   readonly steps: readonly Step[];
-  /** It is handed in together with the one before, not after it. */
+  /** Whether it runs concurrently with the previous attempt instead of after it. */
   readonly together: boolean;
-  /** The process is replaced first, and knows nothing. */
+  /** Whether the process is replaced first by one without any state in memory. */
   readonly restarted: boolean;
 }
 
 const name = fc.constantFrom('a', 'b', 'c');
 const step: fc.Arbitrary<Step> = fc.record({
-  fate: fc.constantFrom('ok', 'ok', 'ok', 'refused', 'lost', 'dropped', 'late'),
+  behaviour: fc.constantFrom('ok', 'ok', 'ok', 'refused', 'lost', 'dropped', 'late'),
   delayMs: fc.constantFrom(0, 0, 5, 60, 300, 900),
 });
 const attempt: fc.Arbitrary<Attempt> = fc.record({
@@ -53,17 +53,17 @@
   return note(id, { add: { upstreams: [{ name: upstream }], routes } });
 }
 
-/** As the log tells one thing handed in from another. */
+/** The digest by which the log recognises a repeated proposal. */
 function contentOf(given: Attempt): string {
   return digestOf(given.action === 'withdraw' ? { withdraw: given.note } : noteOf(given));
 }
 
-function handIn(source: Source, given: Attempt, deadline: number): Promise<Acceptance> {
+function propose(source: Source, given: Attempt, deadline: number): Promise<Acceptance> {
   if (given.action === 'withdraw') return source.withdraw(given.note, 'omar', deadline);
   return source[given.action](noteOf(given), deadline);
 }
 
-/** Processes over one platform, and what their operators were told. */
+/** Processes over one platform, and the answers that their operators got. */
 class Trial {
   readonly platforms: UnsteadyPlatform[];
 
@@ -82,17 +82,20 @@
       { length: SOURCES },
       () => new UnsteadyPlatform(fixture.store, fixture.clock),
     );
-    this.sources = this.platforms.map((platform) => fixture.source(platform, SNAPSHOT_EVERY));
+    this.sources = this.platforms.map((platform) =>
+      fixture.source(platform, VERSIONS_PER_SNAPSHOT),
+    );
   }
 
   async run(given: Attempt): Promise<void> {
     const platform = this.platforms[given.at]!;
-    if (given.restarted) this.sources[given.at] = this.fixture.source(platform, SNAPSHOT_EVERY);
+    if (given.restarted)
+      this.sources[given.at] = this.fixture.source(platform, VERSIONS_PER_SNAPSHOT);
     platform.steps.push(...given.steps);
     const content = contentOf(given);
-    const deadline = this.fixture.clock.now() + HASTE_MS;
+    const deadline = this.fixture.clock.now() + SHORT_TIMEOUT_MS;
     try {
-      const acceptance = await handIn(this.sources[given.at]!, given, deadline);
+      const acceptance = await propose(this.sources[given.at]!, given, deadline);
       if (acceptance.outcome !== 'accepted') return;
       const { version, nonce } = acceptance.record;
       expect(this.reported.get(version.number) ?? nonce).to.equal(nonce);
@@ -104,7 +107,7 @@
     }
   }
 
-  /** Checks what must hold at every moment. */
+  /** Checks the invariants that must hold at any time. */
   async verify(): Promise<void> {
     const stored = await this.fixture.store.list({ prefix: 'versions/' }, this.fixture.deadline);
     const values = stored.map(({ value }) => value);
@@ -128,25 +131,25 @@
     for (const [number, nonce] of this.reported) expect(records[number - 1]?.nonce).to.equal(nonce);
   }
 
-  /** Hands everything in again while nothing misbehaves: each is now decided. */
-  async settle(attempts: readonly Attempt[]): Promise<void> {
+  /** Repeats all attempts without faults; each must now get a definite answer. */
+  async repeatAll(attempts: readonly Attempt[]): Promise<void> {
     this.platforms.forEach((platform) => {
       platform.steps = [];
     });
-    await this.fixture.time.tickAsync(2 * PATIENCE_MS);
+    await this.fixture.time.tickAsync(2 * TIMEOUT_MS);
     for (const given of attempts) {
-      const source = this.fixture.source(this.fixture.store, SNAPSHOT_EVERY);
-      const acceptance = await this.fixture.settled(handIn(source, given, this.fixture.deadline));
+      const source = this.fixture.source(this.fixture.store, VERSIONS_PER_SNAPSHOT);
+      const acceptance = await this.fixture.advanceUntilSettled(
+        propose(source, given, this.fixture.deadline),
+      );
       expect(brief(acceptance).outcome).to.be.oneOf(['accepted', 'refused', 'conflict']);
     }
   }
 }
 
 describe('Sources', () => {
-  // Several processes take notes at once while each one's calls to the platform are refused, lost,
-  // dropped, late or slow, and processes are replaced. Whatever comes, the log is one gapless
-  // chain of valid configurations, no record changes, no note is accepted twice, and what an
-  // operator was told to be accepted stays so; what was told not to be accepted is not there.
+  // Under any faults the log must stay one gapless chain of valid, unchanged records without a note
+  // accepted twice, and must agree with every answer that an operator got.
   it('agree on one log under any interleaving of faults', async () => {
     const attempts = fc.array(attempt, { minLength: 2, maxLength: 12 });
     const property = fc.asyncProperty(attempts, async (given) => {
@@ -154,16 +157,16 @@
       const trial = new Trial(fixture);
       let batch: Promise<void>[] = [];
       for (const one of given) {
-        if (!one.together) await fixture.settled(Promise.all(batch));
+        if (!one.together) await fixture.advanceUntilSettled(Promise.all(batch));
         if (!one.together) batch = [];
         batch.push(trial.run(one));
       }
-      await fixture.settled(Promise.all(batch));
-      await fixture.time.tickAsync(2 * PATIENCE_MS);
+      await fixture.advanceUntilSettled(Promise.all(batch));
+      await fixture.time.tickAsync(2 * TIMEOUT_MS);
       await trial.verify();
       const stored = await fixture.records();
       for (const { content } of stored) expect([...trial.possible]).to.include(content);
-      await trial.settle(given);
+      await trial.repeatAll(given);
       await trial.verify();
     });
     await fc.assert(property, { seed: SEED, numRuns: RUNS });
--- a/src/test/source/note_text_test.ts
+++ b/src/test/source/note_text_test.ts
@@ -16,7 +16,7 @@
     expect('problems' in reading && reading.problems).toMatchSnapshot();
   });
 
-  it('refuses what is not YAML, unfolds without bound or is too long', () => {
+  it('refuses invalid YAML, unlimited alias expansion and overlong text', () => {
     const bomb = `a: &a [x,x,x,x,x,x,x,x,x,x]
 b: &b [*a,*a,*a,*a,*a,*a,*a,*a,*a,*a]
 c: &c [*b,*b,*b,*b,*b,*b,*b,*b,*b,*b]
--- a/src/test/source/partition_test.ts
+++ b/src/test/source/partition_test.ts
@@ -32,7 +32,7 @@
     fc.assert(property, { seed: SEED, numRuns: 50 });
   });
 
-  it('leaves the parts alone whose range saw no change', () => {
+  it('does not change parts whose range has not changed', () => {
     const resources = Array.from({ length: 5_000 }, (_, index) =>
       upstream(index * 2, 'x'.repeat(250)),
     );
@@ -46,7 +46,7 @@
     expect(rewritten).to.have.length(1);
   });
 
-  it('joins neighbours that have shrunk', () => {
+  it('merges adjacent small parts', () => {
     const resources = Array.from({ length: 5_000 }, (_, index) => upstream(index, 'x'.repeat(250)));
     const pivots = pivotsOf(partition(resources, []));
     const left = resources.filter((_, index) => index % 100 === 0);
--- a/src/test/source/snapshots_test.ts
+++ b/src/test/source/snapshots_test.ts
@@ -5,16 +5,16 @@
 import { SeededRandom } from '../../runtime/random.js';
 import { Log } from '../../source/log.js';
 import { LogFeed } from '../../source/log_feed.js';
-import { SNAPSHOT_EVERY } from '../../source/publisher.js';
+import { VERSIONS_PER_SNAPSHOT } from '../../source/publisher.js';
 import { Snapshots } from '../../source/snapshots.js';
 import { type Source } from '../../source/source.js';
 import { brief, Fixture, note, upstreams } from './fixture.js';
 
-/** One read to catch up and one write. */
+/** Calls of one acceptance: a read to catch up and a write. */
 const CALLS_OF_ACCEPTANCE = 2;
 const MAX_TURNS = 10_000;
 
-/** Notes `n0` to `n<count - 1>`, each adding one upstream. */
+/** Accepts `count` notes from `n<from>` on, each adding one upstream. */
 async function grow(fixture: Fixture, source: Source, count: number, from = 0): Promise<void> {
   for (let index = from; index < from + count; index++) {
     const added = note(`n${index}`, { add: upstreams(`u${index}`) });
@@ -28,7 +28,7 @@
   return (await new Snapshots(fixture.store, log).load(0, fixture.deadline))?.number;
 }
 
-/** A reader's replica once it has read all that the platform holds. */
+/** Starts a reader and returns its replica once it has caught up. */
 async function startReader(fixture: Fixture): Promise<Replica> {
   const replica = new Replica();
   const snapshots = new Snapshots(fixture.store, fixture.log);
@@ -45,15 +45,15 @@
   const running = reader.run(stopping.signal);
   for (let step = 0; step < 100 && !reader.caughtUp; step++) await fixture.time.tickAsync(50);
   stopping.abort();
-  await fixture.settled(running);
+  await fixture.advanceUntilSettled(running);
   return replica;
 }
 
 describe('Snapshots', () => {
-  it('bound what a source and a reader read to start', async () => {
+  it('limit the reads that a source and a reader need to start', async () => {
     using fixture = new Fixture();
-    await grow(fixture, fixture.source(), 2 * SNAPSHOT_EVERY + 10);
-    expect(await latest(fixture)).to.equal(2 * SNAPSHOT_EVERY);
+    await grow(fixture, fixture.source(), 2 * VERSIONS_PER_SNAPSHOT + 10);
+    expect(await latest(fixture)).to.equal(2 * VERSIONS_PER_SNAPSHOT);
     const before = fixture.store.calls.reads;
     const checked = await fixture
       .source()
@@ -61,14 +61,14 @@
     const bySource = fixture.store.calls.reads - before;
     const replica = await startReader(fixture);
     const byReader = fixture.store.calls.reads - before - bySource;
-    expect(checked).to.have.property('head', 2 * SNAPSHOT_EVERY + 10);
-    expect(replica.current.number).to.equal(2 * SNAPSHOT_EVERY + 10);
+    expect(checked).to.have.property('head', 2 * VERSIONS_PER_SNAPSHOT + 10);
+    expect(replica.current.number).to.equal(2 * VERSIONS_PER_SNAPSHOT + 10);
     expect({ bySource, byReader }).toMatchSnapshot();
   });
 
-  it('leave notes from before them known, amendable and withdrawable', async () => {
+  it('keep notes accepted before them known, amendable and withdrawable', async () => {
     using fixture = new Fixture();
-    await grow(fixture, fixture.source(), SNAPSHOT_EVERY + 1);
+    await grow(fixture, fixture.source(), VERSIONS_PER_SNAPSHOT + 1);
     const fresh = fixture.source();
     const answers = [
       await fresh.submit(note('n3', { add: upstreams('u3') }), fixture.deadline),
@@ -83,47 +83,45 @@
     expect(answers.map(brief)).toMatchSnapshot();
   });
 
-  // A publisher is paused for long after it has read the latest record, and wakes when others have
-  // published later ones. It then tries to put its own in place. Were that to succeed, everyone
-  // who starts would begin further back than the index of notes says.
-  it('never go back, when a publisher wakes late', async () => {
+  // A publisher is paused and resumes after later snapshots were published. If it replaced them,
+  // starting processes would begin further back than the index of notes assumes.
+  it('are not replaced by an older one when a publisher resumes late', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
-    await grow(fixture, source, SNAPSHOT_EVERY);
+    await grow(fixture, source, VERSIONS_PER_SNAPSHOT);
     const snapshots = new Snapshots(fixture.store, fixture.log);
     const old = await snapshots.load(0, fixture.deadline);
-    await grow(fixture, source, SNAPSHOT_EVERY, SNAPSHOT_EVERY);
+    await grow(fixture, source, VERSIONS_PER_SNAPSHOT, VERSIONS_PER_SNAPSHOT);
     const published = await snapshots.publish(old!, fixture.deadline);
-    expect(published).to.equal(2 * SNAPSHOT_EVERY);
-    expect(await latest(fixture)).to.equal(2 * SNAPSHOT_EVERY);
+    expect(published).to.equal(2 * VERSIONS_PER_SNAPSHOT);
+    expect(await latest(fixture)).to.equal(2 * VERSIONS_PER_SNAPSHOT);
   });
 
-  // The platform's value of one part is damaged. Whoever starts notices by the digest and replays
-  // the log instead: slower, but nobody serves a configuration that was never accepted.
-  it('are passed over if damaged', async () => {
+  // A stored part is damaged. A starting process must notice that by the digest and replay the log,
+  // or it would serve a configuration that was never accepted.
+  it('are ignored if damaged', async () => {
     using fixture = new Fixture();
-    await grow(fixture, fixture.source(), SNAPSHOT_EVERY + 2);
+    await grow(fixture, fixture.source(), VERSIONS_PER_SNAPSHOT + 2);
     const [part] = await fixture.store.list({ prefix: 'parts/' }, fixture.deadline);
     const damaged = part!.value.replace('"u1"', '"u?"');
     await fixture.store.update(part!.key, damaged, part!.revision, fixture.deadline);
     expect(await latest(fixture)).to.equal(undefined);
     const replica = await startReader(fixture);
-    expect(replica.current.number).to.equal(SNAPSHOT_EVERY + 2);
+    expect(replica.current.number).to.equal(VERSIONS_PER_SNAPSHOT + 2);
     const repeated = await fixture
       .source()
       .submit(note('n0', { add: upstreams('u0') }), fixture.deadline);
     expect(brief(repeated)).to.include({ repeated: true, version: 1 });
   });
 
-  // The platform takes versions but fails while a snapshot is published, at each of its calls in
-  // turn. Operators see nothing of it. The snapshot in place stays whole, no note is forgotten
-  // meanwhile, and a later acceptance publishes.
-  it('stay whole when publishing fails at any call', async () => {
-    // Of 67 calls: one for each index object, the latest record, one part, the record.
+  // The platform fails at some call of a publication. The stored snapshot must stay intact, no note
+  // may be forgotten, and a later acceptance must publish.
+  it('stay intact when publishing fails at any call', async () => {
+    // The 67 calls are one per index object, one read of the record, one part and the new record.
     for (const done of [4, 30, 64, 65, 66]) {
       using fixture = new Fixture();
       const source = fixture.source();
-      await grow(fixture, source, SNAPSHOT_EVERY - 1);
+      await grow(fixture, source, VERSIONS_PER_SNAPSHOT - 1);
       const before = callsOf(fixture) + CALLS_OF_ACCEPTANCE;
       await source.submit(note('due', { add: upstreams('due') }), fixture.deadline);
       for (let turn = 0; callsOf(fixture) < before + done; turn++) {
@@ -137,8 +135,8 @@
       const first = note('n0', { add: upstreams('u0') });
       const again = await fixture.source().submit(first, fixture.deadline);
       expect(brief(again)).to.include({ repeated: true, version: 1 });
-      await grow(fixture, source, SNAPSHOT_EVERY, SNAPSHOT_EVERY);
-      expect(await latest(fixture)).to.be.at.least(SNAPSHOT_EVERY);
+      await grow(fixture, source, VERSIONS_PER_SNAPSHOT, VERSIONS_PER_SNAPSHOT);
+      expect(await latest(fixture)).to.be.at.least(VERSIONS_PER_SNAPSHOT);
     }
   });
 });
@@ -148,7 +146,7 @@
 }
 
 describe('Log', () => {
-  it('stores a change that is longer than one value in parts', async () => {
+  it('stores a change in parts if it is too long for one value', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     const about = 'x'.repeat(400);
--- a/src/test/source/source_test.ts
+++ b/src/test/source/source_test.ts
@@ -1,9 +1,9 @@
 import { expect } from 'chai';
-import { MAX_REACH } from '../../source/review.js';
+import { MAX_BASE_LAG } from '../../source/review.js';
 import { brief, Fixture, note, OPENING, upstreams } from './fixture.js';
 
 describe('Source', () => {
-  it('accepts a note once, however often it is handed in', async () => {
+  it('accepts a note once, however often it is submitted', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     const first = await source.submit(OPENING, fixture.deadline);
@@ -13,7 +13,7 @@
     expect(await fixture.records()).to.have.length(1);
   });
 
-  it('amends by taking the earlier content back and putting the new in its place at once', async () => {
+  it('amends by replacing the earlier content with the new in one version', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     await source.submit(note('base', { add: upstreams('bookings') }), fixture.deadline);
@@ -30,7 +30,7 @@
     expect(await fixture.held()).toMatchSnapshot();
   });
 
-  it('withdraws to what was before the note, amendments included', async () => {
+  it('restores the state before a note and its amendments on withdrawal', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     await source.submit(note('base', { add: upstreams('bookings') }), fixture.deadline);
@@ -44,7 +44,7 @@
     expect(await fixture.held()).to.deep.equal(before);
   });
 
-  it('answers a late repeat of an earlier amendment without putting it in force again', async () => {
+  it('answers a late repeat of an earlier amendment without applying it again', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     await source.submit(OPENING, fixture.deadline);
@@ -78,7 +78,7 @@
     expect(await fixture.records()).to.have.length(2);
   });
 
-  it('names the resources that a later note touched, until that one is withdrawn', async () => {
+  it('reports resources touched by a later note as a conflict until it is withdrawn', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     await source.submit(OPENING, fixture.deadline);
@@ -94,7 +94,7 @@
     expect(await fixture.held()).to.deep.equal([]);
   });
 
-  it('takes a note written against an older version where the resources are disjoint', async () => {
+  it('accepts a note based on an older version only if the resources are disjoint', async () => {
     using fixture = new Fixture();
     const source = fixture.source();
     await source.submit(OPENING, fixture.deadline);
@@ -109,13 +109,13 @@
     expect(answers.map(brief)).toMatchSnapshot();
   });
 
-  it('holds no base that is ahead of the log or too far back', async () => {
+  it('refuses a base that is ahead of the log or too far behind', async () => {
     using fixture = new Fixture();
-    await fixture.fill(MAX_REACH + 1);
+    await fixture.fill(MAX_BASE_LAG + 1);
     const based = (base: number) => note('based', { base, add: upstreams('x') });
     const source = fixture.source();
     const answers = [
-      await source.submit(based(MAX_REACH + 2), fixture.deadline),
+      await source.submit(based(MAX_BASE_LAG + 2), fixture.deadline),
       await source.submit(based(0), fixture.deadline),
       await source.submit(based(1), fixture.deadline),
     ];
--- a/src/test/source/unsteady_platform.ts
+++ b/src/test/source/unsteady_platform.ts
@@ -9,26 +9,26 @@
 import { type Clock } from '../../runtime/clock.js';
 
 /**
- * What becomes of one call:
+ * Behaviour of one call:
  *
  * - `ok`: it is answered.
- * - `refused`: it fails before it takes effect, and says so.
- * - `lost`: it takes effect and its answer is lost.
- * - `dropped`: it takes no effect and nothing says so.
- * - `late`: nothing is heard of it, and it takes effect a good while later.
+ * - `refused`: it fails with `not-run`, without an effect.
+ * - `lost`: it takes effect, but its answer is lost.
+ * - `dropped`: it gets no answer and has no effect.
+ * - `late`: it gets no answer and takes effect after `LATE_MS`.
  */
-export type Fate = 'ok' | 'refused' | 'lost' | 'dropped' | 'late';
+export type Behaviour = 'ok' | 'refused' | 'lost' | 'dropped' | 'late';
 
 export interface Step {
-  readonly fate: Fate;
+  readonly behaviour: Behaviour;
   readonly delayMs: number;
 }
 
 const LATE_MS = 3_000;
 
-/** A platform as one process sees it: each call takes its turn's delay and meets its turn's fate. */
+/** A platform with faults, as seen by one process: each call follows the next of `steps`. */
 export class UnsteadyPlatform extends Platform {
-  /** Fates of the next calls; those after them are answered at once. */
+  /** Delays and behaviours of the next calls; calls after them are answered at once. */
   steps: Step[] = [];
 
   constructor(
@@ -75,12 +75,12 @@
   }
 
   async #call<T>(run: () => Promise<T>): Promise<T> {
-    const { fate, delayMs } = this.steps.shift() ?? { fate: 'ok', delayMs: 0 };
+    const { behaviour, delayMs } = this.steps.shift() ?? { behaviour: 'ok', delayMs: 0 };
     if (delayMs > 0) await this.clock.sleepUntil(this.clock.now() + delayMs);
-    if (fate === 'refused') throw failure('not-run');
-    if (fate === 'ok') return run();
-    if (fate === 'lost') await run();
-    if (fate === 'late') void this.#later(run);
+    if (behaviour === 'refused') throw failure('not-run');
+    if (behaviour === 'ok') return run();
+    if (behaviour === 'lost') await run();
+    if (behaviour === 'late') void this.#later(run);
     throw failure('may-have-run');
   }
 
