--- a/src/platform/call_meter.ts
+++ b/src/platform/call_meter.ts
@@ -1,20 +1,20 @@
-/** Counts calls to the platform and notices when it is away. */
+/** Counts calls to the platform and detects when it is unavailable. */
 
-/** A call that ended. */
+/** Method and outcome of completed calls. */
 export interface EndedCall {
   readonly method: string;
-  /** Status of the answer, or `failed` without one. */
+  /** HTTP status of the answer, or `failed` if there was none. */
   readonly outcome: string;
 }
 
-/** Called when the platform has become unusable, or usable again. */
+/** Called when the platform becomes unavailable, and when it becomes available again. */
 export type PlatformListener = (change: {
   readonly isAway: boolean;
   readonly message: string;
 }) => void;
 
-const LEAST_FAILURE = 500;
-const TOO_MANY = '429';
+const MIN_FAILURE_STATUS = 500;
+const TOO_MANY_REQUESTS = '429';
 
 export class CallMeter {
   readonly #counts = new Map<string, EndedCall & { count: number }>();
@@ -23,12 +23,12 @@
 
   #isAway = false;
 
-  /** Calls ended since the start, by method and outcome. */
+  /** Numbers of completed calls since the process started, by method and outcome. */
   get ended(): readonly (EndedCall & { readonly count: number })[] {
     return [...this.#counts.values()];
   }
 
-  /** How many those are together. */
+  /** Number of all completed calls. */
   get total(): number {
     return this.ended.reduce((sum, { count }) => sum + count, 0);
   }
@@ -45,13 +45,13 @@
   answered(method: string, status: number): void {
     const outcome = String(status);
     this.#count(method, outcome);
-    const isAway = status >= LEAST_FAILURE || outcome === TOO_MANY;
-    this.#note(isAway, `the platform answered ${outcome}`);
+    const isAway = status >= MIN_FAILURE_STATUS || outcome === TOO_MANY_REQUESTS;
+    this.#setAway(isAway, `the platform answered ${outcome}`);
   }
 
   failed(method: string, cause: Error): void {
     this.#count(method, 'failed');
-    this.#note(true, cause.message);
+    this.#setAway(true, cause.message);
   }
 
   #count(method: string, outcome: string): void {
@@ -61,7 +61,7 @@
     else this.#counts.set(key, { method, outcome, count: 1 });
   }
 
-  #note(isAway: boolean, message: string): void {
+  #setAway(isAway: boolean, message: string): void {
     if (isAway === this.#isAway) return;
     this.#isAway = isAway;
     for (const listener of this.#listeners) listener({ isAway, message });
--- a/src/platform/compiled.ts
+++ b/src/platform/compiled.ts
@@ -1,7 +1,7 @@
 /**
- * Loads the bundle together with the code that V8 compiled of it ahead. A process that starts cold
- * spends a good part of its first second on compiling functions one by one as they are first
- * called; compiled ahead, after a rehearsal, they are there when the bundle is.
+ * Loads the bundle together with its V8 code cache. A process that starts without one spends a
+ * large part of its first second compiling functions as they are first called. The build writes the
+ * cache after a rehearsal, so that it contains these functions.
  */
 import { readFileSync, writeFileSync } from 'node:fs';
 import { createRequire } from 'node:module';
@@ -10,18 +10,18 @@
 
 type Wrapper = (load: NodeJS.Require, module: { exports: unknown }, exports: unknown) => void;
 
-export interface Loaded {
+export interface LoadedBundle {
   readonly bundle: typeof Bundle;
-  /** Why nothing compiled ahead is used; undefined if it is. */
-  readonly uncompiled: string | undefined;
-  /** Writes what V8 has compiled by now beside the bundle. */
-  keep(): void;
+  /** Why the code cache is not used; undefined if it is. */
+  readonly cacheMissReason: string | undefined;
+  /** Writes the code that V8 has compiled so far to the code cache beside the bundle. */
+  writeCache(): void;
 }
 
-/** `path` is the bundle's; what is compiled of it lies beside it. */
-export function loadCompiled(path: string): Loaded {
-  const kept = `${path}.cache`;
-  const cachedData = readIfThere(kept);
+/** Loads the bundle at `path`; its code cache is the file `<path>.cache`. */
+export function loadWithCodeCache(path: string): LoadedBundle {
+  const cachePath = `${path}.cache`;
+  const cachedData = readIfExists(cachePath);
   // eslint-disable-next-line n/no-sync -- nothing else runs yet
   const source = readFileSync(path, 'latin1');
   const text = `(function (require, module, exports) {${source}\n})`;
@@ -31,13 +31,13 @@
   wrapper(createRequire(path), module, module.exports);
   return {
     bundle: module.exports as typeof Bundle,
-    uncompiled: reasonOf(cachedData, script),
-    // eslint-disable-next-line n/no-sync -- a build has nothing else to do
-    keep: () => writeFileSync(kept, script.createCachedData()),
+    cacheMissReason: missReasonOf(cachedData, script),
+    // eslint-disable-next-line n/no-sync -- only the build calls it, and does nothing else then
+    writeCache: () => writeFileSync(cachePath, script.createCachedData()),
   };
 }
 
-function readIfThere(path: string): Buffer | undefined {
+function readIfExists(path: string): Buffer | undefined {
   try {
     // eslint-disable-next-line n/no-sync -- nothing else runs yet
     return readFileSync(path);
@@ -46,8 +46,8 @@
   }
 }
 
-function reasonOf(cachedData: Buffer | undefined, script: Script): string | undefined {
+function missReasonOf(cachedData: Buffer | undefined, script: Script): string | undefined {
   if (!cachedData) return 'missing';
-  // V8 takes only what the same version made with the same flags, of a source as long as this.
+  // V8 accepts a cache only from the same version and flags, and for a source of the same length.
   return script.cachedDataRejected ? 'made by another Node, or with other flags' : undefined;
 }
--- a/src/platform/endpoint_reports.ts
+++ b/src/platform/endpoint_reports.ts
@@ -1,4 +1,4 @@
-/** Takes what the upstream instance beside this process says of itself, as the platform spells it. */
+/** Receives the reports of the upstream instance beside this process, in the platform's format. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { text } from 'node:stream/consumers';
 import * as z from 'zod';
@@ -12,32 +12,32 @@
   version: z.string().optional(),
   coldRemaining: Duration.optional(),
   state: z.enum(['ready', 'draining']),
-  /** Rises with each report of one life. */
+  /** Increases with each report between two starts of the upstream instance. */
   sequence: z.number().int(),
   /** Start of the upstream instance, in milliseconds since the epoch. */
   born: z.number().int().optional(),
 });
 const Departure = z.object({ born: z.number().int().optional() });
 
-/** Who is told. */
-export interface Reported {
+/** Receives valid reports. */
+export interface ReportHandler {
   take(announcement: Announcement): void;
   depart(life: Life): void;
-  /** Resolves when what was said last outlives this process. */
-  kept(): Promise<void>;
+  /** Resolves when neighbours hold the last report, so that it survives the end of this process. */
+  whenReplicated(): Promise<void>;
 }
 
-/** Reports with another service name are from another writer, and name no endpoint of this machine. */
-export function endpointReports(service: () => string, reported: Reported): Server {
+/** Refuses reports of other services: they do not describe an endpoint of this machine. */
+export function createReportServer(service: () => string, handler: ReportHandler): Server {
   return createServer((request, response) => {
-    serve(request, service(), reported)
+    serve(request, service(), handler)
       .then((status) => answer(response, status))
-      // Bytes that cannot be read change nothing; whoever sent them is told.
+      // A report that cannot be parsed changes nothing, and its sender gets an error.
       .catch(() => answer(response, 400));
   });
 }
 
-async function serve(request: IncomingMessage, service: string, reported: Reported) {
+async function serve(request: IncomingMessage, service: string, handler: ReportHandler) {
   const { searchParams } = new URL(request.url ?? '/', 'http://control');
   const id = searchParams.get('of') ?? '';
   const body = await text(request);
@@ -45,14 +45,14 @@
     case 'instances.heartbeat': {
       const report = Report.parse(JSON.parse(body));
       if (report.service !== service) return 400;
-      reported.take(announcementOf(id, report));
-      if (report.state === 'draining') await reported.kept();
+      handler.take(announcementOf(id, report));
+      if (report.state === 'draining') await handler.whenReplicated();
       return 200;
     }
     case 'instances.deregister': {
       const { born } = Departure.parse(body === '' ? {} : JSON.parse(body));
-      reported.depart({ id, born });
-      await reported.kept();
+      handler.depart({ id, born });
+      await handler.whenReplicated();
       return 200;
     }
     default:
--- a/src/platform/host_settings.ts
+++ b/src/platform/host_settings.ts
@@ -1,4 +1,4 @@
-/** The settings file that the platform gives to each process. */
+/** The settings file that the platform provides for each process. */
 import { readFile } from 'node:fs/promises';
 import * as z from 'zod';
 import { type Settings, SettingsError } from '../daemon/settings.js';
@@ -7,15 +7,16 @@
 const HostFile = z.object({
   nodeName: z.string(),
   ip: z.ipv4(),
-  /** The data centre. */
+  /** Name of the data centre. */
   zone: z.string(),
   listen: z.object({
-    /** Requests from other processes. */
+    /** For requests from other processes. */
     inbound: HostPort,
-    /** Requests from callers on this machine. */
+    /** For requests from callers on this machine. */
     outbound: HostPort,
+    /** For readiness checks. */
     ready: HostPort,
-    /** Announcements of the upstream instance beside this process. */
+    /** For reports of the upstream instance beside this process. */
     control: HostPort.optional(),
   }),
   internalPortRange: z.tuple([z.number().int(), z.number().int()]),
@@ -27,42 +28,43 @@
     retryBudgetRatio: z.number().default(0.2),
     budgetSlack: z.number().default(0),
     budgetWindow: Duration,
-    /** Share of a service's requests that a bad version may get. */
+    /** Largest share of a service's requests that a bad version may get. */
     exposureShare: z.number().gt(0).max(1).default(0.1),
   }),
-  /** The parts of the platform's rules that are in force. */
+  /** Names of the platform's optional contracts that are in force. */
   contracts: z.array(z.string()).default([]),
   limits: z.object({ maxFds: z.number().int(), linkMbps: z.number().positive().optional() }),
   service: z.string(),
-  /** Of the upstream instance beside this process. */
+  /** Address of the upstream instance beside this process. */
   appAddr: HostPort.optional(),
   platform: z.object({ address: HostPort }),
 });
 export type HostFile = z.infer<typeof HostFile>;
 
 /**
- * Retries as a percentage of requests, per unit of the ratio that the fleet may add. Half of it:
- * the calls that a repeated run makes again count as retries where they arrive.
+ * Retries allowed, as a percentage of requests, per unit of the retry ratio allowed to the fleet.
+ * Only half of that ratio, because the calls that a repeated run makes again count as retries too
+ * where they arrive.
  */
-const RETRY_PERCENT = 50;
+const RETRY_PERCENT_PER_RATIO = 50;
 
 const KBPS_PER_MBPS = 1_000;
 
 const ROLLOUT_CONTRACT = 'rollout';
 
-/** Ports of the internal range, counted from its first. */
-const LINK_PORT = 0;
-const OPERATORS_PORT = 1;
-/** Announcements that may stay away before the upstream instance is taken for down. */
-const MISSED_ANNOUNCEMENTS = 4;
-/** The part of the grace after a stop was asked for that is kept for the end, in milliseconds. */
+/** Offsets of ports in the internal port range. */
+const LINK_PORT_OFFSET = 0;
+const OPERATORS_PORT_OFFSET = 1;
+/** Missing reports in a row after which the upstream instance counts as down. */
+const MAX_MISSED_ANNOUNCEMENTS = 4;
+/** Part of the grace period of a stop that is reserved for the exit, in milliseconds. */
 const STOP_MARGIN_MS = 400;
-/** Two readiness questions missed, a second apart, and the way of the news to callers, in ms. */
+/** Two failed readiness checks, a second apart, and the delay until callers know of them, in ms. */
 const NOTICE_MS = 2_500;
-/** For the other processes to send no more work here: the news goes over links at once. */
+/** Time until other processes send no more work here, in ms; they are told over links at once. */
 const DRAIN_MS = 700;
 
-/** Reads the settings file. Throws `SettingsError`. */
+/** Reads the settings file. Throws `SettingsError` if it cannot be read or is invalid. */
 export async function readHostFile(path: string): Promise<HostFile> {
   const parsed = HostFile.safeParse(await readJson(path));
   if (parsed.success) return parsed.data;
@@ -77,17 +79,17 @@
   }
 }
 
-/** Whether operators may order roll-outs. */
+/** Whether operators may order rollouts. */
 export function hasRollouts({ contracts }: HostFile): boolean {
   return contracts.includes(ROLLOUT_CONTRACT);
 }
 
-/** Link ports of the machines that the file names as a way in. */
+/** Link addresses of the machines that the file lists as seeds. */
 export function seedsOf({ seeds, internalPortRange }: HostFile) {
-  return seeds.map(({ host }) => ({ host, port: internalPortRange[0] + LINK_PORT }));
+  return seeds.map(({ host }) => ({ host, port: internalPortRange[0] + LINK_PORT_OFFSET }));
 }
 
-/** The product's settings on this machine. */
+/** Converts the file to the settings of this process. */
 export function settingsOf(file: HostFile): Settings {
   const { listen, internalPortRange, platform, bounds } = file;
   const { linkMbps } = file.limits;
@@ -97,8 +99,8 @@
     host: file.ip,
     callerPort: listen.outbound.port,
     guardPort: listen.inbound.port,
-    linkPort: internalPortRange[0] + LINK_PORT,
-    operatorsPort: internalPortRange[0] + OPERATORS_PORT,
+    linkPort: internalPortRange[0] + LINK_PORT_OFFSET,
+    operatorsPort: internalPortRange[0] + OPERATORS_PORT_OFFSET,
     platform: `http://${platform.address.host}:${platform.address.port}`,
     peers: seedsOf(file),
     upstreamName: file.service,
@@ -109,8 +111,8 @@
     heartbeatMs: 500,
     noticeMs: NOTICE_MS,
     drainMs: DRAIN_MS,
-    leaseMs: MISSED_ANNOUNCEMENTS * file.heartbeat,
-    retryPercent: bounds.retryBudgetRatio * RETRY_PERCENT,
+    leaseMs: MAX_MISSED_ANNOUNCEMENTS * file.heartbeat,
+    retryPercent: bounds.retryBudgetRatio * RETRY_PERCENT_PER_RATIO,
     retrySlack: bounds.budgetSlack,
     retryWindowMs: bounds.budgetWindow,
     ...(linkMbps !== undefined && { uplinkKbps: linkMbps * KBPS_PER_MBPS }),
--- a/src/platform/http_platform.ts
+++ b/src/platform/http_platform.ts
@@ -18,13 +18,14 @@
 const STATUS_NOT_FOUND = 404;
 const STATUS_CONFLICT = 409;
 const STATUS_GONE = 410;
-/** How much longer than the wait itself the answer to a watch may take, in milliseconds. */
+/** Time allowed for the answer to a watch beyond the wait itself, in milliseconds. */
 const WATCH_GRACE_MS = 1_000;
-/** Longest wait that the store grants a watch, in milliseconds. */
+/** Longest wait that the store allows for a watch, in milliseconds. */
 const MAX_WAIT_MS = 30_000;
 
 /**
- * Keys are `kind/name`; a value is kept as the object's specification, as JSON where it is JSON.
+ * Keys are `kind/name`. A value is stored as the `spec` of the object: as JSON if it is valid JSON,
+ * and as a string otherwise.
  *
  * @example
  * ```ts
@@ -53,9 +54,9 @@
     const { kind } = keyParts(range.prefix);
     const found: Stored[] = [];
     const { limit = Infinity } = range;
-    for await (const page of this.#pages(kind, nameAfter(range), deadline)) {
+    for await (const page of this.#pages(kind, startNameOf(range), deadline)) {
       found.push(...page.objects.filter(({ key }) => key.startsWith(range.prefix)));
-      const isPast = page.objects.some(({ key }) => key > range.prefix && !under(key, range));
+      const isPast = page.objects.some(({ key }) => key > range.prefix && !hasPrefix(key, range));
       if (found.length >= limit || isPast) break;
     }
     return found.slice(0, limit);
@@ -63,7 +64,7 @@
 
   async listing(kind: string, deadline: number): Promise<Listing> {
     const objects: Stored[] = [];
-    // Changes made while the pages came in are seen again by whoever follows from the first one.
+    // The revision of the first page: changes made while later pages were read are then seen again.
     let asOf: number | undefined;
     for await (const page of this.#pages(kind, undefined, deadline)) {
       objects.push(...page.objects);
@@ -78,15 +79,15 @@
     deadline: number,
     signal?: AbortSignal,
   ): Promise<Changes> {
-    const left = Math.max(0, Math.round(deadline - this.clock.now()));
-    const waitMs = Math.min(left, MAX_WAIT_MS);
+    const remainingMs = Math.max(0, Math.round(deadline - this.clock.now()));
+    const waitMs = Math.min(remainingMs, MAX_WAIT_MS);
     const path = `${kindPath(kind)}?watch=${asOf}&waitMs=${waitMs}`;
     const until = this.clock.now() + waitMs + WATCH_GRACE_MS;
     const call = { method: 'GET', path, deadline: until, ...(signal && { signal }) };
     const answer = await this.#connection.call(call);
     if (answer.status === STATUS_GONE) {
       const props = { verdict: 'not-run', reason: HISTORY_GONE } as const;
-      throw new OutcomeError(`the store has dropped its history since ${asOf}`, props);
+      throw new OutcomeError(`the store no longer holds the changes since revision ${asOf}`, props);
     }
     return parseChanges(kind, bodyOf(answer));
   }
@@ -168,8 +169,8 @@
     call: { method: string; path: string; body: string; deadline: number },
   ): Promise<Stored | undefined> {
     const answer = await this.#connection.call(call);
-    const isLost = answer.status === STATUS_CONFLICT || answer.status === STATUS_NOT_FOUND;
-    return isLost ? undefined : parseObject(kind, bodyOf(answer));
+    const isConflict = answer.status === STATUS_CONFLICT || answer.status === STATUS_NOT_FOUND;
+    return isConflict ? undefined : parseObject(kind, bodyOf(answer));
   }
 }
 
@@ -182,18 +183,18 @@
   return `${kindPath(kind)}/${encodeURIComponent(name)}`;
 }
 
-function under(key: string, { prefix }: Range): boolean {
+function hasPrefix(key: string, { prefix }: Range): boolean {
   return key.startsWith(prefix);
 }
 
-/** The name after which a listing begins, so that it reads as little as it can. */
-function nameAfter({ prefix, after }: Range): string | undefined {
+/** The name after which a listing of the range starts, so that it reads no page needlessly. */
+function startNameOf({ prefix, after }: Range): string | undefined {
   const from = after !== undefined && after > prefix ? after : prefix;
   const { name } = keyParts(from);
   return name === '' ? undefined : name;
 }
 
-/** Values that are JSON are readable in the store; others go as text. */
+/** Values that are JSON are stored as such, to be readable in the store; others as strings. */
 function specOf(value: string): unknown {
   try {
     return JSON.parse(value);
@@ -204,7 +205,7 @@
 
 function bodyOf({ status, body }: Answer): unknown {
   if (status === STATUS_OK || status === STATUS_CREATED) return JSON.parse(body);
-  // A refusal by the store says that nothing was done; another failure says nothing.
+  // If the store refuses a call, nothing was done; after other failures that is unknown.
   const isRefused = status === 503 || (status >= 400 && status < 500);
   throw new OutcomeError(`the store answered ${status}: ${body.slice(0, 200)}`, {
     verdict: isRefused ? 'not-run' : 'may-have-run',
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -12,24 +12,27 @@
 import { PROMPT } from '../membership/pace.js';
 import { MachineClock } from '../runtime/clock.js';
 import { MachineRandom } from '../runtime/random.js';
-import { endpointReports } from './endpoint_reports.js';
+import { createReportServer } from './endpoint_reports.js';
 import { type HostFile, hasRollouts, readHostFile, seedsOf, settingsOf } from './host_settings.js';
 import { HttpPlatform } from './http_platform.js';
 import { MeshDialect } from './mesh_dialect.js';
 import { ObjectFeed } from './object_feed.js';
 import { ObjectOrders } from './object_orders.js';
-import { readinessPort } from './readiness_port.js';
+import { createReadinessServer } from './readiness_port.js';
 
-/** The variable that names the settings file. */
+/** Environment variable with the path of the settings file. */
 const SETTINGS_VARIABLE = 'BARLEYHAVEN_SETTINGS';
-/** How often the settings file is looked at, since it may change without a signal, in ms. */
-const LOOK_EVERY_MS = 2_000;
+/** Interval of checks of the settings file, which may change without a signal, in ms. */
+const SETTINGS_POLL_MS = 2_000;
 
-/** How long the end of a process waits for its neighbours to hear of it, in milliseconds. */
-const FAREWELL_MS = 100;
+/** How long a stopping process waits for its neighbours to learn that it leaves, in ms. */
+const LEAVE_TIMEOUT_MS = 100;
 
-/** Serves until the process is told to stop. `uncompiled`: why it starts from its source, if so. */
-export async function main(environment: NodeJS.ProcessEnv, uncompiled?: string): Promise<void> {
+/** Serves until the process is told to stop. `cacheMissReason`: why no code cache is used. */
+export async function main(
+  environment: NodeJS.ProcessEnv,
+  cacheMissReason?: string,
+): Promise<void> {
   const path = environment[SETTINGS_VARIABLE] ?? '';
   let file = await readHostFile(path);
   const settings = settingsOf(file);
@@ -37,7 +40,8 @@
   const clock = new MachineClock();
   const platform = new HttpPlatform(new URL(settings.platform), clock);
   const log = new LineLog(settings.instance, settings.logLevel, standardOutput(), clock);
-  if (uncompiled !== undefined) log.record('warn', { event: 'uncompiled', reason: uncompiled });
+  if (cacheMissReason !== undefined)
+    log.record('warn', { event: 'uncompiled', reason: cacheMissReason });
   const instance = await Instance.start(settings, {
     platform,
     clock,
@@ -49,7 +53,7 @@
     pace: PROMPT,
     log,
   });
-  await openPorts(file, instance);
+  await startServers(file, instance);
   const reload = async () => {
     file = await readHostFile(path);
     instance.control.peers = seedsOf(file);
@@ -61,24 +65,24 @@
     });
   };
   process.on('SIGHUP', onChange);
-  watchFile(path, { interval: LOOK_EVERY_MS, persistent: false }, onChange);
+  watchFile(path, { interval: SETTINGS_POLL_MS, persistent: false }, onChange);
   await once(process, 'SIGTERM');
   await instance.stop(clock.now() + settings.stopMs);
-  // Whatever is left open goes with the process; only the others have to hear of the end.
+  // Open connections end with the process; only the neighbours have to be notified.
   const leaving = instance.control.leave();
-  await Promise.race([leaving, clock.sleepUntil(clock.now() + FAREWELL_MS)]);
+  await Promise.race([leaving, clock.sleepUntil(clock.now() + LEAVE_TIMEOUT_MS)]);
 }
 
-async function openPorts({ listen, service }: HostFile, instance: Instance): Promise<void> {
+async function startServers({ listen, service }: HostFile, instance: Instance): Promise<void> {
   if (listen.control) {
     const { control } = instance;
-    const reports = endpointReports(() => service, {
+    const reports = createReportServer(() => service, {
       take: (announcement) => control.endpointLease.take(announcement),
       depart: (life) => control.endpointLease.depart(life),
-      kept: () => control.kept(),
+      whenReplicated: () => control.kept(),
     });
     await bind(reports, listen.control.host, listen.control.port);
   }
-  const ready = readinessPort(() => instance.isReady);
+  const ready = createReadinessServer(() => instance.isReady);
   await bind(ready, listen.ready.host, listen.ready.port);
 }
--- a/src/platform/mesh_dialect.ts
+++ b/src/platform/mesh_dialect.ts
@@ -1,4 +1,4 @@
-/** What callers and upstream instances speak on the operators' platform. */
+/** Headers and status codes that callers and upstream instances use on the operators' platform. */
 import { type IncomingHttpHeaders, type IncomingMessage } from 'node:http';
 import { Dialect, type Identity, type Meaning } from '../requests/dialect.js';
 import { headerOf } from '../requests/headers.js';
@@ -31,7 +31,7 @@
     NOT_EXECUTED_HEADER,
   ]);
 
-  /** Which requests may run twice is the route's word alone. */
+  /** Only the route determines which requests may run twice. */
   readonly takesKeys = false;
 
   constructor(
@@ -46,8 +46,8 @@
   }
 
   callerTimeoutMs(headers: IncomingHttpHeaders): number | undefined {
-    const asked = Number(headers[TIMEOUT_HEADER]);
-    return asked > 0 ? asked : undefined;
+    const timeoutMs = Number(headers[TIMEOUT_HEADER]);
+    return timeoutMs > 0 ? timeoutMs : undefined;
   }
 
   originHeaders(): readonly string[] {
@@ -82,7 +82,7 @@
     return answer.statusCode === SERVICE_UNAVAILABLE && !hasNoRoom;
   }
 
-  /** Callers take fractions, and come back sooner for it. */
+  /** In fractions of a second, which callers accept, so that they need not wait for a whole one. */
   retryAfter(waitMs: number): string {
     return (Math.max(1, waitMs) / MS_PER_SECOND).toFixed(3);
   }
--- a/src/platform/object_feed.ts
+++ b/src/platform/object_feed.ts
@@ -1,18 +1,18 @@
-/** Feeds the replica from the operator's object in the store. */
+/** Updates the replica from the operator's object in the store. */
 import { type Clock } from '../runtime/clock.js';
 import { OutcomeError } from '../contracts.js';
 import { Feed } from '../distribution/feed.js';
 import { type Replica } from '../distribution/replica.js';
-import { OperatorObjects } from './operator_object.js';
+import { OperatorObjectDecoder } from './operator_object.js';
 import { HISTORY_GONE, type Platform, type Stored } from './platform.js';
 
 const KIND = 'config';
 const KEY = 'config/main';
 
 export class ObjectFeed extends Feed {
-  readonly #objects = new OperatorObjects();
+  readonly #objects = new OperatorObjectDecoder();
 
-  /** Revision of the store from which changes are followed; unknown when its history is gone. */
+  /** Revision of the store after which changes are followed; undefined if its history is gone. */
   #asOf: number | undefined;
 
   constructor(
@@ -26,8 +26,8 @@
   async catchUp(deadline: number): Promise<boolean> {
     const { objects, asOf } = await this.platform.listing(KIND, deadline);
     const main = objects.find(({ key }) => key === KEY);
-    if (!main) throw absent();
-    const isWhole = this.#take(main);
+    if (!main) throw absentError();
+    const isWhole = this.#apply(main);
     this.#asOf = asOf;
     return isWhole;
   }
@@ -37,7 +37,7 @@
     try {
       const { changes, asOf } = await this.platform.changes(KIND, this.#asOf, deadline, signal);
       const latest = changes.findLast(({ object, isDeleted }) => object.key === KEY && !isDeleted);
-      const isWhole = latest ? this.#take(latest.object) : true;
+      const isWhole = latest ? this.#apply(latest.object) : true;
       this.#asOf = asOf;
       return isWhole;
     } catch (error) {
@@ -46,14 +46,14 @@
     }
   }
 
-  #take({ value }: Stored): boolean {
+  #apply({ value }: Stored): boolean {
     const { number, resources } = this.#objects.decode(value);
     if (number <= this.replica.current.number) return true;
     return this.replica.replace(number, resources, this.clock.now());
   }
 }
 
-function absent(): OutcomeError {
+function absentError(): OutcomeError {
   const props = { verdict: 'not-run', reason: 'absent' } as const;
-  return new OutcomeError('the operator has not written a configuration yet', props);
+  return new OutcomeError(`no configuration in the store yet: ${KEY} does not exist`, props);
 }
--- a/src/platform/object_orders.ts
+++ b/src/platform/object_orders.ts
@@ -1,4 +1,4 @@
-/** Reads operators' orders of roll-outs from the store, and writes what became of them there. */
+/** Reads the operators' rollout orders from the store, and writes their status back. */
 import * as z from 'zod';
 import { Name, OutcomeError, type Rollout, type RolloutPhase } from '../contracts.js';
 import { type Ordered, OrderSource } from '../rollout/order_source.js';
@@ -8,7 +8,7 @@
 const KIND = 'rollouts';
 
 const Order = z.object({ service: Name, targetVersion: z.string(), duration: Duration });
-/** `running` is said of the version it names, not of one that was ordered since. */
+/** The state holds for `targetVersion` only, not for a version that was ordered later. */
 const OrderStatus = z.object({
   state: z.enum(['running', 'completed', 'rolled_back']),
   targetVersion: z.string(),
@@ -22,7 +22,7 @@
 };
 
 export class ObjectOrders extends OrderSource {
-  /** Revision from which changes are followed; unknown when the history is gone. */
+  /** Revision after which changes are followed; undefined if the history is gone. */
   #asOf: number | undefined;
 
   constructor(private readonly platform: Platform) {
@@ -49,8 +49,8 @@
   }
 
   async conclude({ upstream, version, revision, phase }: Rollout, deadline: number) {
-    const said: OrderStatus = { state: stateOf(phase), targetVersion: version };
-    const status = JSON.stringify(said);
+    const orderStatus: OrderStatus = { state: stateOf(phase), targetVersion: version };
+    const status = JSON.stringify(orderStatus);
     const key = `${KIND}/${upstream}`;
     return (await this.platform.updateStatus(key, status, revision, deadline)) !== undefined;
   }
@@ -61,15 +61,18 @@
   return phase === 'trial' || phase === 'proof' ? 'running' : 'rolled_back';
 }
 
-/** Empty for what is no order: another writer's, or one that cannot be read. */
+/** Empty if the object is not a valid order, for example one of another writer. */
 function rolloutFrom({ value, revision, created, status }: Stored, isDeleted: boolean): Rollout[] {
-  const order = Order.safeParse(parsed(value));
+  const order = Order.safeParse(parseJson(value));
   if (!order.success) return [];
   const { service: upstream, targetVersion: version, duration: durationMs } = order.data;
-  const said = OrderStatus.safeParse(parsed(status));
-  const word = said.success && said.data.targetVersion === version ? said.data : undefined;
-  const phase = word ? PHASES[word.state] : 'trial';
-  const isTakenBack = isDeleted && phase === 'trial';
+  const parsedStatus = OrderStatus.safeParse(parseJson(status));
+  const current =
+    parsedStatus.success && parsedStatus.data.targetVersion === version
+      ? parsedStatus.data
+      : undefined;
+  const phase = current ? PHASES[current.state] : 'trial';
+  const isWithdrawn = isDeleted && phase === 'trial';
   return [
     {
       upstream,
@@ -77,14 +80,14 @@
       durationMs,
       revision,
       orderedAt: created ?? revision,
-      phase: isTakenBack ? 'withdrawn' : phase,
-      isNoted: word !== undefined,
+      phase: isWithdrawn ? 'withdrawn' : phase,
+      isNoted: current !== undefined,
       isDeleted,
     },
   ];
 }
 
-function parsed(text: string | undefined): unknown {
+function parseJson(text: string | undefined): unknown {
   try {
     return JSON.parse(text ?? 'null');
   } catch {
--- a/src/platform/operator_object.ts
+++ b/src/platform/operator_object.ts
@@ -1,9 +1,9 @@
-/** The operator's configuration, decoded into the product's resources. */
+/** Decodes the operator's configuration object into resources. */
 import * as z from 'zod';
 import { type Resource, Route, Upstream } from '../contracts.js';
 import { Duration, VersionTag } from './wire.js';
 
-/** The product's highest priority; the platform counts from 0, the highest, downwards. */
+/** The highest priority of a route; on the platform 0 is the highest priority. */
 const HIGHEST_PRIORITY = 9;
 
 const ObjectRoute = z.object({
@@ -15,7 +15,7 @@
   priority: z.number().int().min(0),
   maxAttempts: z.number().int().min(1),
   service: z.string().optional(),
-  /** Services that share the requests by weight. */
+  /** Services among which requests are split by weight. */
   trafficSplit: z.array(z.object({ service: z.string(), weight: z.number() })).optional(),
 });
 
@@ -28,40 +28,40 @@
       maxHeaderBytes: z.number().int(),
       maxBodyBytes: z.number().int(),
       headerTimeout: Duration,
-      /** How long callers' connections may stay idle. */
+      /** Longest idle time of callers' connections. */
       idleTimeout: Duration,
     })
     .optional(),
 });
 
-/** A whole configuration. */
-export interface Whole {
+/** A complete configuration and its version number. */
+export interface DecodedConfiguration {
   readonly number: number;
   readonly resources: readonly Resource[];
 }
 
-/** Decoded resources by the text they were decoded from, so that a new version costs its change. */
-export class OperatorObjects {
-  #decoded = new Map<string, Resource>();
+/** Caches resources by the text they were decoded from: a new version decodes only changes. */
+export class OperatorObjectDecoder {
+  #cache = new Map<string, Resource>();
 
-  /** Throws if the object is not one that this program understands whole. */
-  decode(value: string): Whole {
+  /** Throws if any part of the object is invalid or unknown. */
+  decode(value: string): DecodedConfiguration {
     const { version, routes, services, limits } = OperatorObject.parse(JSON.parse(value));
     const maxBodyBytes = limits?.maxBodyBytes;
     const decoded = new Map<string, Resource>();
-    const keep = (kind: string, name: string, from: unknown, decode: () => Resource) => {
+    const add = (kind: string, name: string, from: unknown, decode: () => Resource) => {
       const text = `${kind} ${name} ${JSON.stringify(from)} ${maxBodyBytes}`;
-      decoded.set(text, this.#decoded.get(text) ?? decode());
+      decoded.set(text, this.#cache.get(text) ?? decode());
     };
     for (const [name, { healthPath }] of Object.entries(services)) {
-      keep('service', name, healthPath, () =>
+      add('service', name, healthPath, () =>
         Upstream.parse({ kind: 'upstream', name, healthPath }),
       );
     }
     for (const [name, route] of Object.entries(routes)) {
-      keep('route', name, route, () => routeFrom(name, route, maxBodyBytes));
+      add('route', name, route, () => routeFrom(name, route, maxBodyBytes));
     }
-    this.#decoded = decoded;
+    this.#cache = decoded;
     return { number: version, resources: [...decoded.values()] };
   }
 }
--- a/src/platform/platform.ts
+++ b/src/platform/platform.ts
@@ -1,21 +1,21 @@
 /** The platform's object API: versioned values, conditional updates and watches. */
 import { CallMeter } from './call_meter.js';
 
-/** A stored value. Revisions rise over the whole store with every write. */
+/** A stored object. Every write to the store increases its revision, which is global. */
 export interface Stored {
   readonly key: string;
   readonly value: string;
   readonly revision: number;
   /** Revision at which the object was created. */
   readonly created?: number;
-  /** What has become of what the value asks for, as JSON; absent if nothing is said. */
+  /** Status of what the value requests, as JSON; absent if none was written. */
   readonly status?: string;
 }
 
-/** Where a listing or a watch starts and how much it returns. */
+/** The keys that a listing or a watch covers, and how many it returns. */
 export interface Range {
   readonly prefix: string;
-  /** Only keys that sort after this one. */
+  /** Only keys that sort after this one are returned. */
   readonly after?: string;
   readonly limit?: number;
 }
@@ -23,43 +23,43 @@
 /** All objects of one kind at one revision of the store. */
 export interface Listing {
   readonly objects: readonly Stored[];
-  /** Revision from which changes are to be followed. */
+  /** Revision of the listing; changes are followed from here. */
   readonly asOf: number;
 }
 
-/** What became of one object. */
+/** One changed or deleted object. */
 export interface Changed {
   readonly object: Stored;
   readonly isDeleted: boolean;
 }
 
-/** What happened to the objects of one kind since a revision; nothing if the wait was in vain. */
+/** Changes to the objects of one kind since a revision; empty if there were none in time. */
 export interface Changes {
   readonly changes: readonly Changed[];
   readonly asOf: number;
 }
 
-/** Reason of the error that `changes` throws when the store does not reach back that far. */
+/** Reason of the error when the store no longer holds the changes since a revision. */
 export const HISTORY_GONE = 'history-gone';
 
 /** The largest value the platform stores, in bytes. */
 export const MAX_VALUE_BYTES = 1_000_000;
 
 /**
- * Every call throws an `OutcomeError` when the platform cannot be reached or does not answer by
- * the deadline (milliseconds since the epoch). Its verdict for a write is `may-have-run` unless
- * the write provably never left: an answer can be lost after the write took effect.
+ * Every call throws an `OutcomeError` when the platform is unreachable or does not answer by the
+ * deadline (milliseconds since the epoch). For a write its verdict is `may-have-run` unless the
+ * write provably was not sent, since an answer can be lost after the write took effect.
  */
 export abstract class Platform {
   abstract get(key: string, deadline: number): Promise<Stored | undefined>;
 
-  /** Calls made by this process, and whether they are answered. */
+  /** Counts the calls of this process and tracks whether the platform is available. */
   readonly meter = new CallMeter();
 
-  /** Stored values in key order. */
+  /** The objects of a range, in key order. */
   abstract list(range: Range, deadline: number): Promise<Stored[]>;
 
-  /** Creates the key if absent; resolves to undefined if it was there already. */
+  /** Creates the key if absent; resolves to undefined if it exists already. */
   abstract create(key: string, value: string, deadline: number): Promise<Stored | undefined>;
 
   /** Replaces the value if its revision is still `revision`; undefined if it is not. */
@@ -70,7 +70,7 @@
     deadline: number,
   ): Promise<Stored | undefined>;
 
-  /** Replaces what is said of the object, if its revision is still `revision`; undefined if not. */
+  /** Replaces the object's status if its revision is still `revision`; undefined if it is not. */
   abstract updateStatus(
     key: string,
     status: string,
@@ -78,15 +78,16 @@
     deadline: number,
   ): Promise<Stored | undefined>;
 
-  /** Removes the key if its revision is still `revision`. */
+  /** Removes the key if its revision is still `revision`; false if it is not. */
   abstract remove(key: string, revision: number, deadline: number): Promise<boolean>;
 
-  /** All objects of a kind, the first part of their keys. */
+  /** All objects of a kind, which is the first part of their keys. */
   abstract listing(kind: string, deadline: number): Promise<Listing>;
 
   /**
-   * Waits until something of a kind has changed since `asOf`, or until the deadline. One waiting
-   * call counts as one.
+   * Waits for changes to objects of a kind after revision `asOf`, at most until the deadline. This
+   * counts as one call however long it waits. Throws with reason `HISTORY_GONE` if the store no
+   * longer holds the changes since `asOf`.
    */
   abstract changes(
     kind: string,
@@ -96,13 +97,13 @@
   ): Promise<Changes>;
 
   /**
-   * Waits until the range holds at least one value and returns it, or returns an empty list at
-   * the deadline.
+   * Waits until the range contains at least one object and returns its objects, or returns an empty
+   * list at the deadline.
    */
   abstract watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]>;
 }
 
-/** Splits `kind/name`; the name may hold slashes too. */
+/** Splits `kind/name`; the name may contain slashes. */
 export function keyParts(key: string): { readonly kind: string; readonly name: string } {
   const slash = key.indexOf('/');
   if (slash < 0) return { kind: key, name: '' };
--- a/src/platform/readiness_port.ts
+++ b/src/platform/readiness_port.ts
@@ -1,7 +1,7 @@
-/** Answers the platform's question whether callers may be sent to this machine. */
+/** Answers the platform's readiness checks: whether callers may be sent to this machine. */
 import { createServer, type Server } from 'node:http';
 
-export function readinessPort(isReady: () => boolean): Server {
+export function createReadinessServer(isReady: () => boolean): Server {
   return createServer((_, response) => {
     response.writeHead(isReady() ? 200 : 503, { 'content-length': 0 });
     response.end();
--- a/src/platform/rehearse.ts
+++ b/src/platform/rehearse.ts
@@ -1,6 +1,6 @@
 /**
- * Run by the build: serves some requests with two processes in one, against stand-ins, and keeps
- * what V8 has compiled by then.
+ * Run by the build: starts two instances in one process against stand-ins, serves some requests,
+ * and writes the code that V8 has compiled by then to the code cache.
  */
 import { mkdtemp, rm } from 'node:fs/promises';
 import { request } from 'node:http';
@@ -18,16 +18,16 @@
 } from '../standins/mesh_machine.js';
 import { MeshUpstream } from '../standins/mesh_upstream.js';
 import { PlatformServer } from '../standins/platform_server.js';
-import { loadCompiled } from './compiled.js';
+import { loadWithCodeCache } from './compiled.js';
 
 const SERVICES = ['rehearsal'];
 const ROUTES = 20;
 const REQUESTS = 200;
-/** Two versions come meanwhile, since a later one takes another way than the first. */
-const VERSION_EVERY = 100;
+/** Two more versions are published: a later one takes a different code path than the first. */
+const REQUESTS_PER_VERSION = 100;
 const BYTES = 5_000;
 const DELAY_MS = 2;
-/** For the processes to find each other and take the configuration. */
+/** Time for the instances to find each other and load the configuration, in milliseconds. */
 const SETTLE_MS = 2_500;
 const STORE_CALL_MS = 5_000;
 const OK = 200;
@@ -35,9 +35,9 @@
 const clock = new MachineClock();
 
 async function rehearse(): Promise<number> {
-  const loaded = loadCompiled(join(__dirname, 'barleyhavend.cjs'));
+  const loaded = loadWithCodeCache(join(__dirname, 'barleyhavend.cjs'));
   const { store, url } = await PlatformServer.start(clock);
-  await putInForce(store, operatorsObject(1, ROUTES, SERVICES), soon());
+  await putInForce(store, operatorsObject(1, ROUTES, SERVICES), callDeadline());
   const machines = [0, 1].map((index) => meshMachine(index, 1, SERVICES));
   const folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
   for (const machine of machines) {
@@ -49,17 +49,17 @@
   let served = 0;
   for (let count = 1; count <= REQUESTS; count++) {
     if (await call(machines[count % machines.length]!, count)) served += 1;
-    if (count % VERSION_EVERY === 0) {
-      const number = 1 + count / VERSION_EVERY;
-      await putInForce(store, operatorsObject(number, ROUTES + number, SERVICES), soon());
+    if (count % REQUESTS_PER_VERSION === 0) {
+      const number = 1 + count / REQUESTS_PER_VERSION;
+      await putInForce(store, operatorsObject(number, ROUTES + number, SERVICES), callDeadline());
     }
   }
-  loaded.keep();
+  loaded.writeCache();
   await rm(folder, { recursive: true });
   return served;
 }
 
-function soon(): number {
+function callDeadline(): number {
   return clock.now() + STORE_CALL_MS;
 }
 
@@ -78,6 +78,6 @@
 
 void rehearse().then((served) => {
   process.stderr.write(`rehearsed: ${served} of ${REQUESTS} requests served\n`);
-  // eslint-disable-next-line n/no-process-exit -- the processes rehearsed with would serve on
+  // eslint-disable-next-line n/no-process-exit -- the instances would keep serving otherwise
   process.exit(served > 0 ? 0 : 1);
 });
--- a/src/platform/store_connection.ts
+++ b/src/platform/store_connection.ts
@@ -1,4 +1,4 @@
-/** Calls to the store over kept connections, each with a deadline of its own. */
+/** Calls to the store over persistent connections, each with its own deadline. */
 import { Agent, request } from 'node:http';
 import { OutcomeError, type Verdict } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
@@ -13,13 +13,13 @@
   readonly method: string;
   readonly path: string;
   readonly body?: string;
-  /** Without an answer by then the call has failed, in milliseconds since the epoch. */
+  /** Time by which the call fails without an answer, in milliseconds since the epoch. */
   readonly deadline: number;
   readonly signal?: AbortSignal;
 }
 
 const MAX_SOCKETS = 16;
-/** Idle connections are closed after this long, in milliseconds: one may have gone silent. */
+/** Idle connections are closed after this time, in milliseconds, as the peer may be gone. */
 const IDLE_MS = 15_000;
 
 export class StoreConnection implements AsyncDisposable {
@@ -31,31 +31,34 @@
     private readonly meter: CallMeter,
   ) {}
 
-  /** Rejects with an `OutcomeError` when there is no whole answer by the deadline. */
+  /** Rejects with an `OutcomeError` if there is no complete answer by the deadline. */
   call(call: Call): Promise<Answer> {
     const timeout = Math.max(1, call.deadline - this.clock.now());
     return new Promise<Answer>((resolve, reject) => {
-      // Until a socket is there nothing can have left, so a failure is surely `not-run`.
+      // Before the socket is connected nothing can have been sent, so a failure is `not-run`.
       let verdict: Verdict = 'not-run';
       const fail = (cause: Error) => {
         clearTimeout(timer);
         if (!call.signal?.aborted) this.meter.failed(call.method, cause);
-        reject(unreachable(call, verdict, cause));
+        reject(unavailableError(call, verdict, cause));
       };
       const outgoing = request(new URL(call.path, this.base), {
         agent: this.#agent,
         method: call.method,
-        headers: call.body === undefined ? {} : framing(call.body),
+        headers: call.body === undefined ? {} : bodyHeaders(call.body),
         ...(call.signal && { signal: call.signal }),
       });
-      // The connection goes with the call: a late answer on it would be taken for the next one's.
-      const timer = setTimeout(() => outgoing.destroy(new Error('deadline passed')), timeout);
+      // Destroys the connection too: a late answer on it would be taken for that of the next call.
+      const timer = setTimeout(
+        () => outgoing.destroy(new Error('no answer by the deadline')),
+        timeout,
+      );
       outgoing.on('socket', (socket) => {
-        const sent = () => {
+        const markSent = () => {
           verdict = 'may-have-run';
         };
-        if (socket.connecting) socket.once('connect', sent);
-        else sent();
+        if (socket.connecting) socket.once('connect', markSent);
+        else markSent();
       });
       outgoing.on('error', fail);
       outgoing.on('response', (incoming) => {
@@ -78,14 +81,14 @@
   }
 }
 
-function framing(body: string): Record<string, string> {
+function bodyHeaders(body: string): Record<string, string> {
   return {
     'content-type': 'application/json',
     'content-length': String(Buffer.byteLength(body)),
   };
 }
 
-function unreachable(call: Call, verdict: Verdict, cause: Error): OutcomeError {
+function unavailableError(call: Call, verdict: Verdict, cause: Error): OutcomeError {
   return new OutcomeError(
     `platform ${call.method} failed: ${cause.message}`,
     { verdict, reason: 'unavailable' },
--- a/src/platform/store_objects.ts
+++ b/src/platform/store_objects.ts
@@ -1,4 +1,4 @@
-/** Objects as the store sends them, decoded into what the product holds. */
+/** Decodes the objects that the store sends. */
 import * as z from 'zod';
 import { type Changes, type Stored } from './platform.js';
 
--- a/src/test/platform/compiled_test.ts
+++ b/src/test/platform/compiled_test.ts
@@ -2,12 +2,12 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { expect } from 'chai';
-import { loadCompiled } from '../../platform/compiled.js';
+import { loadWithCodeCache } from '../../platform/compiled.js';
 
 const SOURCE = 'exports.run = () => 42;';
 
-// Guards against a process that doesn't start because what was compiled ahead does not fit.
-describe('compiled ahead', () => {
+// Guards against a process that does not start because its code cache does not match the bundle.
+describe('loadWithCodeCache', () => {
   let folder = '';
   let path = '';
 
@@ -19,31 +19,31 @@
 
   afterEach(() => rm(folder, { recursive: true }));
 
-  it('starts from the source when nothing was compiled', () => {
-    const { bundle, uncompiled } = loadCompiled(path);
-    expect(uncompiled).to.equal('missing');
+  it('loads the source if there is no code cache', () => {
+    const { bundle, cacheMissReason } = loadWithCodeCache(path);
+    expect(cacheMissReason).to.equal('missing');
     expect(bundle.run).to.be.a('function');
   });
 
-  it('uses what was kept', () => {
-    loadCompiled(path).keep();
-    const { bundle, uncompiled } = loadCompiled(path);
-    expect(uncompiled).to.equal(undefined);
+  it('uses a code cache that was written', () => {
+    loadWithCodeCache(path).writeCache();
+    const { bundle, cacheMissReason } = loadWithCodeCache(path);
+    expect(cacheMissReason).to.equal(undefined);
     expect(bundle.run).to.be.a('function');
   });
 
-  it('starts from the source, and says so, when what was kept was made otherwise', async () => {
-    loadCompiled(path).keep();
+  it('loads the source and gives the reason if V8 rejects the code cache', async () => {
+    loadWithCodeCache(path).writeCache();
     await writeFile(path, `${SOURCE} // longer than before`);
-    const { bundle, uncompiled } = loadCompiled(path);
-    expect(uncompiled).to.equal('made by another Node, or with other flags');
+    const { bundle, cacheMissReason } = loadWithCodeCache(path);
+    expect(cacheMissReason).to.equal('made by another Node, or with other flags');
     expect(bundle.run).to.be.a('function');
   });
 
-  it('starts from the source when what was kept is no code at all', async () => {
+  it('loads the source if the code cache is corrupt', async () => {
     await writeFile(`${path}.cache`, 'not code');
-    const { bundle, uncompiled } = loadCompiled(path);
-    expect(uncompiled).to.equal('made by another Node, or with other flags');
+    const { bundle, cacheMissReason } = loadWithCodeCache(path);
+    expect(cacheMissReason).to.equal('made by another Node, or with other flags');
     expect(bundle.run).to.be.a('function');
   });
 });
--- a/src/test/platform/endpoint_reports_test.ts
+++ b/src/test/platform/endpoint_reports_test.ts
@@ -2,7 +2,7 @@
 import { request } from 'node:http';
 import { type AddressInfo } from 'node:net';
 import { expect } from 'chai';
-import { endpointReports } from '../../platform/endpoint_reports.js';
+import { createReportServer } from '../../platform/endpoint_reports.js';
 import { listen, LOOPBACK } from '../../standins/listen.js';
 
 const REPORT = {
@@ -20,10 +20,10 @@
 describe('endpointReports', () => {
   async function send(calls: readonly [call: string, body: string][]) {
     const told: unknown[] = [];
-    const server = endpointReports(() => 'listings', {
+    const server = createReportServer(() => 'listings', {
       take: (announcement) => told.push(announcement),
       depart: (life) => told.push({ departs: life }),
-      kept: () => Promise.resolve(),
+      whenReplicated: () => Promise.resolve(),
     });
     await listen(server);
     const { port } = server.address() as AddressInfo;
@@ -40,27 +40,26 @@
     return { statuses, told };
   }
 
-  it('tells what an instance says of itself, in the product’s words', async () => {
-    const said = await send([
+  it('passes on the reports of an instance as announcements', async () => {
+    const result = await send([
       ['instances.heartbeat', JSON.stringify(REPORT)],
       ['instances.heartbeat', JSON.stringify({ ...REPORT, state: 'draining', sequence: 5 })],
       ['instances.deregister', JSON.stringify({ born: REPORT.born })],
       ['instances.deregister', ''],
     ]);
-    expect(said).toMatchSnapshot();
+    expect(result).toMatchSnapshot();
   });
 
-  // Another writer sends reports in its name: of another service, with a state that nobody knows,
-  // with fields missing, or bytes that are no report. None names an endpoint, and none is an error
-  // of this process.
-  it('takes nothing from another writer', async () => {
-    const said = await send([
+  // Guards against an endpoint that another writer names, with reports of another service, unknown
+  // states, missing fields or no JSON, and against an error of this process from them.
+  it('refuses invalid reports and reports of another service', async () => {
+    const result = await send([
       ['instances.heartbeat', JSON.stringify({ ...REPORT, service: 'bookings' })],
       ['instances.heartbeat', JSON.stringify({ ...REPORT, state: 'resting' })],
       ['instances.heartbeat', JSON.stringify({ service: 'listings' })],
       ['instances.heartbeat', '{'],
       ['instances.unheard', '{}'],
     ]);
-    expect(said).to.deep.equal({ statuses: [400, 400, 400, 400, 404], told: [] });
+    expect(result).to.deep.equal({ statuses: [400, 400, 400, 400, 404], told: [] });
   });
 });
--- a/src/test/platform/host_settings_test.ts
+++ b/src/test/platform/host_settings_test.ts
@@ -38,11 +38,11 @@
     }
   }
 
-  it('reads the platform’s file into settings, and ignores what it does not know', async () => {
+  it('converts the platform’s file to settings, and ignores unknown fields', async () => {
     expect(settingsOf(await read(JSON.stringify(FILE)))).toMatchSnapshot();
   });
 
-  it('says what is wrong with a file that cannot be used', async () => {
+  it('reports what is wrong with an invalid file', async () => {
     for (const text of ['{', JSON.stringify({ ...FILE, ip: 'here', heartbeat: 'often' })]) {
       const failure = await read(text).catch((error: Error) => error);
       expect((failure as Error).name).to.equal('SettingsError');
--- a/src/test/platform/mesh_dialect_test.ts
+++ b/src/test/platform/mesh_dialect_test.ts
@@ -10,7 +10,7 @@
   const dialect = new MeshDialect(() => 'listings');
   const asked = message({ 'barleyhaven-request-id': 'a' });
 
-  it('reads what an answer says of the request', () => {
+  it('classifies answers to a request', () => {
     const own = { 'barleyhaven-request-id': 'a' };
     const cases = {
       'an answer': message(own),
@@ -29,7 +29,7 @@
     expect(Object.fromEntries(meanings)).toMatchSnapshot();
   });
 
-  it('hands on the time left, the instance meant and the caller’s service', () => {
+  it('sends the remaining time, the target instance and the caller’s service', () => {
     expect(dialect.upstreamHeaders(730, 'i-1')).to.deep.equal([
       'barleyhaven-timeout-ms',
       '730',
@@ -41,7 +41,7 @@
     expect(dialect.callerTimeoutMs({})).to.equal(undefined);
   });
 
-  it('takes for an instance only what takes work and says how much', () => {
+  it('identifies only instances that accept work and report their slots', () => {
     const headers = { 'barleyhaven-instance-id': 'i-1', 'barleyhaven-server-load': '3,0,18' };
     expect(dialect.identityOf(message(headers))).to.deep.equal({ id: 'i-1', slots: 18 });
     expect(dialect.identityOf(message(headers, 503))).to.equal(undefined);
@@ -51,7 +51,7 @@
     expect(dialect.identityOf(message({ 'barleyhaven-instance-id': 'i-1' }))).to.equal(undefined);
   });
 
-  it('tells callers in fractions of a second when to come back', () => {
+  it('gives the retry delay in fractions of a second', () => {
     expect([dialect.retryAfter(125), dialect.retryAfter(-5)]).to.deep.equal(['0.125', '0.001']);
   });
 });
--- a/src/test/platform/object_feed_test.ts
+++ b/src/test/platform/object_feed_test.ts
@@ -7,7 +7,7 @@
 import { PlatformServer } from '../../standins/platform_server.js';
 
 const KEY = 'config/main';
-const CALL_MS = 2_000;
+const CALL_TIMEOUT_MS = 2_000;
 
 function configuration(number: number, routes: readonly string[]): string {
   const entries = routes.map((name) => [
@@ -30,7 +30,7 @@
   });
 }
 
-class World implements AsyncDisposable {
+class Fixture implements AsyncDisposable {
   readonly clock = new MachineClock();
 
   readonly #owned = new Ownership();
@@ -39,8 +39,8 @@
     this.#owned.use(server);
   }
 
-  static async start(): Promise<World> {
-    return new World(await PlatformServer.start(new MachineClock()));
+  static async start(): Promise<Fixture> {
+    return new Fixture(await PlatformServer.start(new MachineClock()));
   }
 
   reader(): { replica: Replica; feed: ObjectFeed } {
@@ -58,7 +58,7 @@
   }
 
   get deadline(): number {
-    return this.clock.now() + CALL_MS;
+    return this.clock.now() + CALL_TIMEOUT_MS;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -66,30 +66,30 @@
   }
 }
 
-const NEVER = new AbortController().signal;
+const NEVER_ABORTED = new AbortController().signal;
 
 describe('ObjectFeed', () => {
-  // A process starts before the operator has written anything. It must not take an empty
-  // configuration for the accepted one: it would answer 404 where it has to say "not yet".
+  // A process starts before the operator has written a configuration. If it took an empty one for
+  // the accepted one, it would answer 404 instead of reporting that it is not ready.
   it('fails as long as there is no configuration', async () => {
-    await using world = await World.start();
-    const { replica, feed } = world.reader();
-    const failure = await feed.catchUp(world.deadline).catch(({ reason }) => reason as string);
+    await using fixture = await Fixture.start();
+    const { replica, feed } = fixture.reader();
+    const failure = await feed.catchUp(fixture.deadline).catch(({ reason }) => reason as string);
     expect([failure, replica.current.number]).to.deep.equal(['absent', 0]);
   });
 
-  // Two readers see different versions of a storm, since the store holds but the newest. The
-  // digests that they come to must agree, or each would refuse what the other passes on.
+  // The store holds only the latest version, so two readers see different ones. Their digests must
+  // agree all the same, or each would refuse the changes that the other passes on.
   it('brings readers that skipped different versions to the same digest', async () => {
-    await using world = await World.start();
-    await world.write(5, ['menus']);
-    const [one, other] = [world.reader(), world.reader()];
-    await one.feed.catchUp(world.deadline);
-    await world.write(9, ['menus', 'seats']);
-    await one.feed.follow(world.deadline, NEVER);
-    await world.write(12, ['seats']);
-    await one.feed.follow(world.deadline, NEVER);
-    await other.feed.catchUp(world.deadline);
+    await using fixture = await Fixture.start();
+    await fixture.write(5, ['menus']);
+    const [one, other] = [fixture.reader(), fixture.reader()];
+    await one.feed.catchUp(fixture.deadline);
+    await fixture.write(9, ['menus', 'seats']);
+    await one.feed.follow(fixture.deadline, NEVER_ABORTED);
+    await fixture.write(12, ['seats']);
+    await one.feed.follow(fixture.deadline, NEVER_ABORTED);
+    await other.feed.catchUp(fixture.deadline);
     const held = [one, other].map(({ replica }) => [
       replica.current.number,
       replica.current.digest,
@@ -98,42 +98,42 @@
     expect(held[0]![0]).to.equal(12);
   });
 
-  // The store drops its history while a reader is away. The watch fails, and the reader begins
-  // again with the whole object, instead of waiting for changes that it will not be told of.
+  // The store drops its history while a reader is disconnected. The reader must read the whole
+  // object again, or it would wait for changes that the store no longer has.
   it('reads the whole object again when the history is gone', async () => {
-    await using world = await World.start();
-    await world.write(5, ['menus']);
-    const { replica, feed } = world.reader();
-    await feed.catchUp(world.deadline);
-    await world.write(9, ['seats']);
-    world.server.store.compact();
+    await using fixture = await Fixture.start();
+    await fixture.write(5, ['menus']);
+    const { replica, feed } = fixture.reader();
+    await feed.catchUp(fixture.deadline);
+    await fixture.write(9, ['seats']);
+    fixture.server.store.compact();
     const failure = await feed
-      .follow(world.deadline, NEVER)
+      .follow(fixture.deadline, NEVER_ABORTED)
       .catch(({ reason }) => reason as string);
-    await feed.follow(world.deadline, NEVER);
+    await feed.follow(fixture.deadline, NEVER_ABORTED);
     expect([failure, replica.current.number]).to.deep.equal(['history-gone', 9]);
   });
 
-  // An answer that was held up brings an older version than the one in force. Nothing goes back.
-  it('never goes back', async () => {
-    await using world = await World.start();
-    await world.write(9, ['menus']);
-    const { replica, feed } = world.reader();
-    await feed.catchUp(world.deadline);
-    await world.write(5, ['seats']);
-    await feed.follow(world.deadline, NEVER);
+  // A delayed answer contains an older version than the current one: it must not be applied.
+  it('never applies an older version', async () => {
+    await using fixture = await Fixture.start();
+    await fixture.write(9, ['menus']);
+    const { replica, feed } = fixture.reader();
+    await feed.catchUp(fixture.deadline);
+    await fixture.write(5, ['seats']);
+    await feed.follow(fixture.deadline, NEVER_ABORTED);
     expect(replica.current.number).to.equal(9);
   });
 
-  it('is fed further by a neighbour that skipped other versions', async () => {
-    await using world = await World.start();
-    await world.write(5, ['menus']);
-    const { replica, feed } = world.reader();
-    await feed.catchUp(world.deadline);
+  it('gives a neighbour the changes since a version that both have had', async () => {
+    await using fixture = await Fixture.start();
+    await fixture.write(5, ['menus']);
+    const { replica, feed } = fixture.reader();
+    await feed.catchUp(fixture.deadline);
     const neighbour = new Replica();
     neighbour.install(replica.snapshot());
-    await world.write(12, ['menus', 'seats']);
-    await feed.follow(world.deadline, NEVER);
+    await fixture.write(12, ['menus', 'seats']);
+    await feed.follow(fixture.deadline, NEVER_ABORTED);
     expect(neighbour.apply(replica.since(5)!)).to.equal(true);
     expect(neighbour.current.digest).to.equal(replica.current.digest);
     expect(replica.since(7)).to.equal(undefined);
--- a/src/test/platform/object_orders_test.ts
+++ b/src/test/platform/object_orders_test.ts
@@ -6,10 +6,10 @@
 import { PlatformServer } from '../../standins/platform_server.js';
 
 const KEY = 'rollouts/listings';
-const CALL_MS = 2_000;
-const NEVER = new AbortController().signal;
+const CALL_TIMEOUT_MS = 2_000;
+const NEVER_ABORTED = new AbortController().signal;
 
-class World implements AsyncDisposable {
+class Fixture implements AsyncDisposable {
   readonly clock = new MachineClock();
 
   readonly #owned = new Ownership();
@@ -18,12 +18,12 @@
     this.#owned.use(server);
   }
 
-  static async start(): Promise<World> {
-    return new World(await PlatformServer.start(new MachineClock()));
+  static async start(): Promise<Fixture> {
+    return new Fixture(await PlatformServer.start(new MachineClock()));
   }
 
   get deadline(): number {
-    return this.clock.now() + CALL_MS;
+    return this.clock.now() + CALL_TIMEOUT_MS;
   }
 
   orders(): ObjectOrders {
@@ -46,58 +46,58 @@
 const order = (targetVersion: string) => ({ service: 'listings', targetVersion, duration: '12s' });
 
 describe('ObjectOrders', () => {
-  it('reads orders, passes over what is none, and says what became of them', async () => {
-    await using world = await World.start();
-    const orders = world.orders();
-    await world.order(order('v2'));
-    await world.order({ service: 7 }, 'rollouts/odd');
-    // Neighbours would refuse whatever else is told together with a name that they cannot read.
-    await world.order({ ...order('v2'), service: 'No Name' }, 'rollouts/unnamed');
-    const { rollouts } = await orders.list(world.deadline);
+  it('reads orders, ignores invalid ones, and writes their status', async () => {
+    await using fixture = await Fixture.start();
+    const orders = fixture.orders();
+    await fixture.order(order('v2'));
+    await fixture.order({ service: 7 }, 'rollouts/odd');
+    // Neighbours would refuse a whole message that contains an invalid name.
+    await fixture.order({ ...order('v2'), service: 'No Name' }, 'rollouts/unnamed');
+    const { rollouts } = await orders.list(fixture.deadline);
     const [first] = rollouts;
-    const isNoted = await orders.conclude(first!, world.deadline);
-    const running = await orders.follow(world.deadline, NEVER);
+    const isNoted = await orders.conclude(first!, fixture.deadline);
+    const running = await orders.follow(fixture.deadline, NEVER_ABORTED);
     const promoted = { ...running.rollouts[0]!, phase: 'promoting' as const };
-    const isCompleted = await orders.conclude(promoted, world.deadline);
-    const completed = await orders.follow(world.deadline, NEVER);
-    const { status } = (await world.server.store.get(KEY, world.deadline))!;
+    const isCompleted = await orders.conclude(promoted, fixture.deadline);
+    const completed = await orders.follow(fixture.deadline, NEVER_ABORTED);
+    const { status } = (await fixture.server.store.get(KEY, fixture.deadline))!;
     expect({ rollouts, isNoted, running, isCompleted, completed, status }).toMatchSnapshot();
   });
 
-  // Guards against two processes that have come to different verdicts both being believed.
-  it('says nothing where the order has changed since it was read', async () => {
-    await using world = await World.start();
-    const orders = world.orders();
-    await world.order(order('v2'));
-    const [read] = (await orders.list(world.deadline)).rollouts;
-    await orders.conclude({ ...read!, phase: 'withdrawn' }, world.deadline);
-    const isWritten = await orders.conclude({ ...read!, phase: 'promoting' }, world.deadline);
-    const [now] = (await orders.list(world.deadline)).rollouts;
+  // Guards against two processes with different verdicts that both write theirs.
+  it('does not write the status of an order that has changed since it was read', async () => {
+    await using fixture = await Fixture.start();
+    const orders = fixture.orders();
+    await fixture.order(order('v2'));
+    const [read] = (await orders.list(fixture.deadline)).rollouts;
+    await orders.conclude({ ...read!, phase: 'withdrawn' }, fixture.deadline);
+    const isWritten = await orders.conclude({ ...read!, phase: 'promoting' }, fixture.deadline);
+    const [now] = (await orders.list(fixture.deadline)).rollouts;
     expect({ isWritten, phase: now!.phase }).to.deep.equal({
       isWritten: false,
       phase: 'rolled-back',
     });
   });
 
-  // Guards against the word on one version being taken for the word on the next.
-  it('takes an order that was written over for a new one, and one taken back for withdrawn', async () => {
-    await using world = await World.start();
-    const orders = world.orders();
-    await world.order(order('v2'));
-    const [old] = (await orders.list(world.deadline)).rollouts;
-    await orders.conclude({ ...old!, phase: 'withdrawn' }, world.deadline);
-    await world.order(order('v3'));
-    const [renewed] = (await orders.list(world.deadline)).rollouts;
-    const { store } = world.server;
-    const { revision } = (await store.get(KEY, world.deadline))!;
-    await store.remove(KEY, revision, world.deadline);
-    const [deleted] = (await orders.follow(world.deadline, NEVER)).rollouts;
-    const told = ({ version, phase, isDeleted }: typeof renewed & object) => ({
+  // Guards against the status of one version being taken for that of the next.
+  it('treats an overwritten order as a new one, and a deleted one as withdrawn', async () => {
+    await using fixture = await Fixture.start();
+    const orders = fixture.orders();
+    await fixture.order(order('v2'));
+    const [old] = (await orders.list(fixture.deadline)).rollouts;
+    await orders.conclude({ ...old!, phase: 'withdrawn' }, fixture.deadline);
+    await fixture.order(order('v3'));
+    const [renewed] = (await orders.list(fixture.deadline)).rollouts;
+    const { store } = fixture.server;
+    const { revision } = (await store.get(KEY, fixture.deadline))!;
+    await store.remove(KEY, revision, fixture.deadline);
+    const [deleted] = (await orders.follow(fixture.deadline, NEVER_ABORTED)).rollouts;
+    const summaryOf = ({ version, phase, isDeleted }: typeof renewed & object) => ({
       version,
       phase,
       isDeleted,
     });
-    expect([told(renewed!), told(deleted!)]).to.deep.equal([
+    expect([summaryOf(renewed!), summaryOf(deleted!)]).to.deep.equal([
       { version: 'v3', phase: 'trial', isDeleted: false },
       { version: 'v3', phase: 'withdrawn', isDeleted: true },
     ]);
--- a/src/test/platform/operator_object_test.ts
+++ b/src/test/platform/operator_object_test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { OperatorObjects } from '../../platform/operator_object.js';
+import { OperatorObjectDecoder } from '../../platform/operator_object.js';
 
 const ROUTES = {
   seats: {
@@ -42,16 +42,16 @@
   });
 }
 
-describe('OperatorObjects', () => {
-  it('decodes the operator’s words into resources', () => {
-    expect(new OperatorObjects().decode(objectOf('r7'))).toMatchSnapshot();
+describe('OperatorObjectDecoder', () => {
+  it('decodes the operator’s object into resources', () => {
+    expect(new OperatorObjectDecoder().decode(objectOf('r7'))).toMatchSnapshot();
   });
 
-  it('decodes of a later version only what has changed', () => {
-    const objects = new OperatorObjects();
-    const before = objects.decode(objectOf('r7')).resources;
+  it('decodes only the changed resources of a later version', () => {
+    const decoder = new OperatorObjectDecoder();
+    const before = decoder.decode(objectOf('r7')).resources;
     const menus = { ...ROUTES.menus, timeout: '900ms' };
-    const after = objects.decode(objectOf('r12', { ...ROUTES, menus })).resources;
+    const after = decoder.decode(objectOf('r12', { ...ROUTES, menus })).resources;
     const kept = after.filter((resource) => before.includes(resource)).map(({ name }) => name);
     expect(kept.sort()).to.deep.equal(['huvo11a', 'seats', 'wuno96b']);
   });
@@ -62,8 +62,8 @@
     ['a kind of route that is not known', objectOf('r7', { x: { ...ROUTES.seats, kind: 'odd' } })],
     ['a route without a service', objectOf('r7', { x: { ...ROUTES.seats, service: undefined } })],
   ] as const) {
-    it(`takes nothing of an object with ${name}`, () => {
-      expect(() => new OperatorObjects().decode(text)).to.throw();
+    it(`rejects an object with ${name}`, () => {
+      expect(() => new OperatorObjectDecoder().decode(text)).to.throw();
     });
   }
 });
--- a/src/test/platform/start_test.ts
+++ b/src/test/platform/start_test.ts
@@ -8,7 +8,7 @@
 import { meshMachine, writeSettings } from '../../standins/mesh_machine.js';
 
 const BUILD_MS = 60_000;
-/** Nobody listens there: the process starts all the same, and is not ready. */
+/** Nothing listens on this port: the process starts, but does not become ready. */
 const NO_STORE_PORT = 9;
 
 async function build(): Promise<void> {
@@ -16,8 +16,8 @@
   expect(await once(building, 'exit')).to.deep.equal([0, null]);
 }
 
-/** What the process prints until it has started. */
-async function linesUntilStarted(child: ChildProcess): Promise<string[]> {
+/** Names of the events that the process logs until it has started. */
+async function eventsUntilStarted(child: ChildProcess): Promise<string[]> {
   const events: string[] = [];
   for await (const line of createInterface({ input: child.stdout! })) {
     const { event } = JSON.parse(line) as { event: string };
@@ -28,8 +28,8 @@
 }
 
 describe('the process of the platform', () => {
-  // Guards against a build and a start that disagree in their flags: V8 then compiles all anew.
-  it('starts from code that its build has compiled', async function test() {
+  // Guards against different flags for build and start: V8 would reject the code cache.
+  it('uses the code cache that its build has written', async function test() {
     this.timeout(BUILD_MS);
     await build();
     const deploy = await readFile('deploy/system.toml', 'utf8');
@@ -44,7 +44,7 @@
     });
     const exited = once(child, 'exit');
     try {
-      expect(await linesUntilStarted(child)).to.deep.equal(['started']);
+      expect(await eventsUntilStarted(child)).to.deep.equal(['started']);
     } finally {
       child.kill('SIGKILL');
       await exited;
