--- a/src/platform/endpoint_reports.ts
+++ b/src/platform/endpoint_reports.ts
@@ -24,7 +24,7 @@
   take(announcement: Announcement): void;
   depart(life: Life): void;
   /** Resolves when neighbours hold the last report, so that it survives the end of this process. */
-  whenReplicated(): Promise<void>;
+  kept(): Promise<void>;
 }
 
 /** Refuses reports of other services: they do not describe an endpoint of this machine. */
@@ -46,13 +46,13 @@
       const report = Report.parse(JSON.parse(body));
       if (report.service !== service) return 400;
       handler.take(announcementOf(id, report));
-      if (report.state === 'draining') await handler.whenReplicated();
+      if (report.state === 'draining') await handler.kept();
       return 200;
     }
     case 'instances.deregister': {
       const { born } = Departure.parse(body === '' ? {} : JSON.parse(body));
       handler.depart({ id, born });
-      await handler.whenReplicated();
+      await handler.kept();
       return 200;
     }
     default:
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -79,7 +79,7 @@
     const reports = createReportServer(() => service, {
       take: (announcement) => control.endpointLease.take(announcement),
       depart: (life) => control.endpointLease.depart(life),
-      whenReplicated: () => control.kept(),
+      kept: () => control.kept(),
     });
     await bind(reports, listen.control.host, listen.control.port);
   }
--- a/src/test/platform/endpoint_reports_test.ts
+++ b/src/test/platform/endpoint_reports_test.ts
@@ -23,7 +23,7 @@
     const server = createReportServer(() => 'listings', {
       take: (announcement) => told.push(announcement),
       depart: (life) => told.push({ departs: life }),
-      whenReplicated: () => Promise.resolve(),
+      kept: () => Promise.resolve(),
     });
     await listen(server);
     const { port } = server.address() as AddressInfo;
