--- a/src/claims/claim_range.ts
+++ b/src/claims/claim_range.ts
@@ -73,8 +73,8 @@
     result: (claims: Claims) => T,
   ): Promise<T> {
     return new Promise((resolve, reject) => {
-      const done = (claims: Claims) => resolve(result(claims));
-      this.#pending.push({ id, deadline, apply, succeed: done, fail: reject });
+      const succeed = (claims: Claims) => resolve(result(claims));
+      this.#pending.push({ id, deadline, apply, succeed, fail: reject });
       if (!this.#isFlushing) void this.#flush();
     });
   }
@@ -126,7 +126,7 @@
       : await this.platform.create(this.key, value, deadline);
     if (!written) return false;
     this.#cachedPage = written;
-    for (const { succeed: done } of batch) done(claims);
+    for (const { succeed } of batch) succeed(claims);
     return true;
   }
 
@@ -143,7 +143,7 @@
   ): boolean {
     if (!isFresh) return false;
     this.#cachedPage = stored;
-    for (const { succeed: done } of batch) done(claims);
+    for (const { succeed } of batch) succeed(claims);
     return true;
   }
 
--- a/src/claims/claim_writes.ts
+++ b/src/claims/claim_writes.ts
@@ -34,8 +34,8 @@
   ) {}
 
   /** Records the outcome, or removes the claim if there is none; gives up when it expires. */
-  write(id: string, claim: Claim, waitUntilWritten: Claim | undefined): Promise<void> {
-    const write = this.#writeWithRetries(id, claim, waitUntilWritten).finally(() => {
+  write(id: string, claim: Claim, settled: Claim | undefined): Promise<void> {
+    const write = this.#writeWithRetries(id, claim, settled).finally(() => {
       if (this.#writes.get(id) === write) this.#writes.delete(id);
     });
     this.#writes.set(id, write);
@@ -43,7 +43,7 @@
   }
 
   /** Resolves when no write is outstanding for the claim, or at the deadline. */
-  async settled(id: string, deadline: number): Promise<void> {
+  async waitUntilWritten(id: string, deadline: number): Promise<void> {
     const write = this.#writes.get(id);
     if (!write) return;
     const timer = new AbortController();
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -94,7 +94,7 @@
    * could delete it during the new run, and a repeat elsewhere would run a second time.
    */
   async #awaitRelease(id: string, deadline: number): Promise<void> {
-    await this.#writer.settled(id, Math.min(deadline, this.clock.now() + RELEASE_WAIT_MS));
+    await this.#writer.waitUntilWritten(id, Math.min(deadline, this.clock.now() + RELEASE_WAIT_MS));
     if (this.#held.get(id)?.isReleased) throw this.#storeUnavailable();
   }
 
@@ -123,7 +123,7 @@
       settle: (settled) => this.#writeEnd(id, held, settled),
       release: () => {
         this.#writeEnd(id, held, undefined);
-        return this.#writer.settled(id, this.clock.now() + RELEASE_WAIT_MS);
+        return this.#writer.waitUntilWritten(id, this.clock.now() + RELEASE_WAIT_MS);
       },
       abandon: () => this.#forget(id, held),
     });
--- a/src/claims/range_claims.ts
+++ b/src/claims/range_claims.ts
@@ -45,8 +45,8 @@
     const number = Number.parseInt(id.slice(0, RANGE_DIGITS), 16) % this.options.ranges;
     let range = this.#ranges.get(number);
     if (!range) {
-      const { platform, clock, random, options: gathering } = this;
-      range = new ClaimRange(`claim-ranges/${number}`, platform, clock, random, gathering.windowMs);
+      const { platform, clock, random, options } = this;
+      range = new ClaimRange(`claim-ranges/${number}`, platform, clock, random, options.windowMs);
       this.#ranges.set(number, range);
     }
     return range;
