--- a/src/platform/host_settings.ts
+++ b/src/platform/host_settings.ts
@@ -31,7 +31,7 @@
     /** Largest share of a service's requests that a bad version may get. */
     exposureShare: z.number().gt(0).max(1).default(0.1),
   }),
-  /** Names of the platform's optional contracts that are in force. */
+  /** Names of the platform's contracts that are in force. */
   contracts: z.array(z.string()).default([]),
   limits: z.object({ maxFds: z.number().int(), linkMbps: z.number().positive().optional() }),
   service: z.string(),
@@ -56,7 +56,7 @@
 const LINK_PORT_OFFSET = 0;
 const OPERATORS_PORT_OFFSET = 1;
 /** Missing reports in a row after which the upstream instance counts as down. */
-const MAX_MISSED_ANNOUNCEMENTS = 4;
+const MAX_MISSED_REPORTS = 4;
 /** Part of the grace period of a stop that is reserved for the exit, in milliseconds. */
 const STOP_MARGIN_MS = 400;
 /** Two failed readiness checks, a second apart, and the delay until callers know of them, in ms. */
@@ -111,7 +111,7 @@
     heartbeatMs: 500,
     noticeMs: NOTICE_MS,
     drainMs: DRAIN_MS,
-    leaseMs: MAX_MISSED_ANNOUNCEMENTS * file.heartbeat,
+    leaseMs: MAX_MISSED_REPORTS * file.heartbeat,
     retryPercent: bounds.retryBudgetRatio * RETRY_PERCENT_PER_RATIO,
     retrySlack: bounds.budgetSlack,
     retryWindowMs: bounds.budgetWindow,
