--- a/src/daemon/beliefs.ts
+++ b/src/daemon/beliefs.ts
@@ -1,13 +1,18 @@
-/** Writes a line for each change of what a process believes of the others and of what it depends on. */
+/** Logs each change in a process's view of the fleet, its configuration and its dependencies. */
 import { type Member } from '../contracts.js';
 import { type Log } from '../logs/log.js';
 import { type Platform } from '../platform/platform.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Control } from './control.js';
 
-/** Subscribes to all changes; for the life of the process. */
-export function recordBeliefs(control: Control, platform: Platform, log: Log, clock: Clock): void {
-  if (!log.writes('info')) return;
+/** Subscribes to all changes for the lifetime of the process. */
+export function recordStateChanges(
+  control: Control,
+  platform: Platform,
+  log: Log,
+  clock: Clock,
+): void {
+  if (!log.isEnabled('info')) return;
   recordConfiguration(control, log);
   recordMembers(control, log);
   recordLinks(control, log);
@@ -35,7 +40,7 @@
   });
 }
 
-/** Statements that repeat what was known write nothing. */
+/** Logs changes of members; an update that repeats the known state logs nothing. */
 function recordMembers({ roster, ranking }: Control, log: Log): void {
   const known = new Map<string, Member>();
   let { isReader } = ranking;
@@ -75,9 +80,9 @@
 function recordUpstream({ endpointLease }: Control, log: Log): void {
   let last = '';
   endpointLease.onTaken(({ upstream, state, slots, id }) => {
-    const said = `${upstream} ${state} ${slots} ${id}`;
-    if (said === last) return;
-    last = said;
+    const described = `${upstream} ${state} ${slots} ${id}`;
+    if (described === last) return;
+    last = described;
     const identity = id === undefined ? {} : { id };
     log.record('info', { event: 'upstream-changed', upstream, state, slots, ...identity });
   });
--- a/src/daemon/control.ts
+++ b/src/daemon/control.ts
@@ -1,4 +1,4 @@
-/** The control part of a process: configuration and membership, without the carrying of requests. */
+/** Control plane of a process: configuration and membership, without the proxying of requests. */
 import { type Member } from '../contracts.js';
 import { Confirmation } from '../distribution/confirmation.js';
 import { type Feed } from '../distribution/feed.js';
@@ -24,13 +24,13 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 
-/** What the control part is given of the outside world. */
-export interface ControlSurroundings {
+/** External services that the control plane uses. */
+export interface ControlDependencies {
   readonly platform: Platform;
   readonly clock: Clock;
   readonly random: Random;
   readonly dialer: Dialer;
-  /** Where versions come from. */
+  /** Creates the source of configuration versions. */
   readonly feed: (replica: Replica) => Feed;
 }
 
@@ -38,19 +38,19 @@
   readonly fanout: number;
   readonly heartbeatMs: number;
   readonly profile: Profile;
-  /** Where others are looked for first. */
+  /** Link addresses to contact first when joining. */
   readonly peers: readonly Address[];
   readonly pace?: Pace;
-  /** How long an announcement of the upstream instance holds, in milliseconds. */
+  /** How long an announcement of the local upstream instance is valid, in milliseconds. */
   readonly leaseMs?: number;
 }
 
-/** How long a stop waits for the neighbours to hear of it, in milliseconds. */
-const FAREWELL_MS = 500;
-/** How long an acknowledgement waits for neighbours that keep it, in milliseconds. */
-const KEPT_MS = 300;
-/** Neighbours that keep what is acknowledged; both would have to die with this process. */
-const KEEPERS = 2;
+/** How long a stop waits until the neighbours have acknowledged it, in milliseconds. */
+const LEAVE_TIMEOUT_MS = 500;
+/** How long `endpointReplicated` waits for acknowledgements of neighbours, in milliseconds. */
+const REPLICATION_TIMEOUT_MS = 300;
+/** Neighbours that have to store a state: it is lost only if both fail along with this process. */
+const REQUIRED_REPLICAS = 2;
 
 export class Control implements AsyncDisposable {
   readonly replica = new Replica();
@@ -59,7 +59,7 @@
 
   readonly ranking: Ranking;
 
-  /** What this process answers on its links. */
+  /** Handlers for requests that arrive on links. */
   readonly methods = new Methods();
 
   readonly mesh: Mesh;
@@ -76,7 +76,7 @@
 
   readonly gossip: GossipTask;
 
-  /** What the upstream instance beside this process announces. */
+  /** State announced by the local upstream instance. */
   readonly endpointLease: EndpointLease;
 
   readonly #drains: Drains;
@@ -91,15 +91,15 @@
 
   #tasks: Promise<void>[] = [];
 
-  /** Where others are looked for first; settings may change while the process runs. */
+  /** Link addresses to contact first; a reload of the settings may replace them. */
   peers: readonly Address[];
 
   constructor(
     self: Member,
     options: ControlOptions,
-    private readonly surroundings: ControlSurroundings,
+    private readonly dependencies: ControlDependencies,
   ) {
-    const { platform, clock, random, dialer } = surroundings;
+    const { platform, clock, random, dialer } = dependencies;
     const { methods, replica } = this;
     const { pace = STEADY } = options;
     this.#pace = pace;
@@ -138,7 +138,7 @@
       this.gossip.compare(peer, heartbeat.roster);
     });
     this.reader = new Reader(
-      surroundings.feed(replica),
+      dependencies.feed(replica),
       replica,
       this.ranking,
       clock,
@@ -174,7 +174,7 @@
     this.#probe = new Probe(roster, ranking, mesh, clock, random, addresses);
   }
 
-  /** Joins the others and starts all tasks. */
+  /** Joins the fleet and starts all tasks. */
   start(): void {
     const { signal } = this.#stopping;
     this.#tasks = [
@@ -183,24 +183,31 @@
       this.endpointLease.run(signal),
       this.#drains.run(signal),
       this.mesh.run(signal),
-      this.#follow(signal),
+      this.#runReader(signal),
       this.directory.run(signal),
       this.gossip.run(signal),
     ];
   }
 
   /**
-   * Resolves when neighbours hold what was said last of the endpoint beside: an acknowledgement
-   * before that would be forgotten if this process died.
+   * Resolves when `REQUIRED_REPLICAS` neighbours (all, if there are fewer) hold the latest state of
+   * the local endpoint, or after `REPLICATION_TIMEOUT_MS`. An announcement that is acknowledged
+   * earlier would be lost if this process crashed.
    */
   async kept(): Promise<void> {
-    await this.gossip.news.settle(this.surroundings.clock.now() + KEPT_MS, KEEPERS);
+    await this.gossip.news.settle(
+      this.dependencies.clock.now() + REPLICATION_TIMEOUT_MS,
+      REQUIRED_REPLICAS,
+    );
   }
 
-  /** Says that this process leaves; resolves when its neighbours know. */
+  /**
+   * Announces that this process leaves. Resolves when its neighbours have acknowledged that, or
+   * after `LEAVE_TIMEOUT_MS`.
+   */
   async leave(): Promise<void> {
     this.roster.leave();
-    await this.gossip.news.settle(this.surroundings.clock.now() + FAREWELL_MS);
+    await this.gossip.news.settle(this.dependencies.clock.now() + LEAVE_TIMEOUT_MS);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -210,17 +217,18 @@
   }
 
   /**
-   * A process that knows nobody yet ranks first and would read the log itself. When a herd starts,
-   * all would do so at once; hence it gets acquainted first, for a moment.
+   * A process that knows no other member ranks itself first and would read the log from the
+   * platform. If many processes start together, all would do so at once. So unless the pace is
+   * eager, each waits for its first link and the roster that arrives on it.
    */
-  async #follow(signal: AbortSignal): Promise<void> {
-    const { clock, random } = this.surroundings;
+  async #runReader(signal: AbortSignal): Promise<void> {
+    const { clock, random } = this.dependencies;
     const { acquaintMs, rosterMs, isEager } = this.#pace;
     const deadline = clock.now() + acquaintMs + random.jitter(acquaintMs);
-    const acquainted = new AbortController();
-    this.mesh.onOpen(() => acquainted.abort());
+    const linked = new AbortController();
+    this.mesh.onOpen(() => linked.abort());
     if (!isEager) {
-      await clock.sleepUntil(deadline, AbortSignal.any([signal, acquainted.signal]));
+      await clock.sleepUntil(deadline, AbortSignal.any([signal, linked.signal]));
       await clock.sleepUntil(clock.now() + rosterMs, signal);
     }
     await Promise.all([this.reader.run(signal), this.readiness.run(signal)]);
--- a/src/daemon/exit.ts
+++ b/src/daemon/exit.ts
@@ -1,8 +1,8 @@
 /** Exit codes of the daemon. */
 
-/** After a stop that was asked for. */
+/** Stopped on request. */
 export const EXIT_OK = 0;
-/** After a fault of its own. */
+/** Ended by an uncaught exception. */
 export const EXIT_FAULT = 1;
-/** For settings that cannot be used. */
+/** Invalid settings. */
 export const EXIT_SETTINGS = 2;
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -1,4 +1,4 @@
-/** One whole process of the system, put together from its parts. */
+/** One instance: control plane, entry, guard and operators' port of a process. */
 import { createServer, type Server } from 'node:net';
 import { type Member } from '../contracts.js';
 import { type Feed } from '../distribution/feed.js';
@@ -31,42 +31,44 @@
 import { Tally } from '../logs/tally.js';
 import { type OrderSource } from '../rollout/order_source.js';
 import { Rollouts } from '../rollout/rollouts.js';
-import { recordBeliefs } from './beliefs.js';
+import { recordStateChanges } from './beliefs.js';
 import { EndedRequests } from './ended_requests.js';
 import { OperatorsPort } from './operators_port.js';
 import { bind } from './bind.js';
 import { RequestMeter } from './request_meter.js';
 import { type Settings } from './settings.js';
 
-/** What the outside world gives to a process. */
-export interface Surroundings {
+/** External services and options that an instance is started with. */
+export interface InstanceDependencies {
   readonly platform: Platform;
   readonly clock: Clock;
   readonly random: Random;
   readonly codec: Codec;
-  /** What callers and the upstream instance speak; the product's own when absent. */
+  /** Headers that callers and the upstream instance use; `OWN_DIALECT` if absent. */
   readonly dialect?: Dialect;
-  /** Where versions come from; the log of release notes when absent. */
+  /** Creates the source of configuration versions; the log of release notes if absent. */
   readonly feed?: (replica: Replica) => Feed;
-  /** Where operators order roll-outs; endpoints of all versions are alike when absent. */
+  /** Source of roll-out orders; without it endpoints of all versions are treated alike. */
   readonly orders?: OrderSource;
   readonly pace?: Pace;
-  /** Where lines are written; nowhere when absent. */
+  /** Nothing is logged if absent. */
   readonly log?: Log;
 }
 
 const DIAL_TIMEOUT_MS = 1_000;
-/** How long a process that starts looks for a configuration before it gives up on that, in ms. */
-const FIRST_LOOK_MS = 3_000;
+/** How long a process waits for its first configuration before the probe of its upstream, in ms. */
+const CONFIGURATION_TIMEOUT_MS = 3_000;
 const MS_PER_SECOND = 1_000;
-/** How long a stop waits for the reader of its lines, in milliseconds. */
-const LAST_LINES_MS = 100;
-const NEVER = new AbortController().signal;
+/** How long a stop waits until the buffered log lines are written, in milliseconds. */
+const LOG_DRAIN_TIMEOUT_MS = 100;
+const NEVER_ABORTED = new AbortController().signal;
 
 /**
+ * A running process: proxies requests and takes part in the fleet until it is stopped and disposed.
+ *
  * @example
  * ```ts
- * await using instance = await Instance.start(settings, surroundings);
+ * await using instance = await Instance.start(settings, dependencies);
  * ```
  */
 export class Instance implements AsyncDisposable {
@@ -84,16 +86,17 @@
 
   readonly log: Log;
 
-  /** What became of requests, as the metrics tell it. */
+  /** Requests that ended at the entry, for the metrics. */
   readonly endedAtEntry = new EndedRequests('entry');
 
+  /** Requests that ended at the guard, for the metrics. */
   readonly endedAtGuard = new EndedRequests('guard');
 
   readonly requestLogs: readonly RequestLog[];
 
   readonly safeguards: Safeguards;
 
-  /** Absent where nobody can order any. */
+  /** Absent without a source of roll-out orders. */
   readonly rollouts: Rollouts | undefined;
 
   readonly #operators: OperatorsPort;
@@ -110,13 +113,13 @@
 
   private constructor(
     readonly settings: Settings,
-    readonly surroundings: Surroundings,
+    readonly dependencies: InstanceDependencies,
     self: Member,
     ports: OpenPorts,
   ) {
-    const { platform, clock, random, codec, dialect, pace } = surroundings;
-    const feed = surroundings.feed ?? ((replica) => logFeed(platform, replica));
-    this.log = surroundings.log ?? new SilentLog();
+    const { platform, clock, random, codec, dialect, pace } = dependencies;
+    const feed = dependencies.feed ?? ((replica) => logFeed(platform, replica));
+    this.log = dependencies.log ?? new SilentLog();
     const profile = settings.profile === 'bytes' ? new BytesProfile() : new ConvergenceProfile();
     this.control = new Control(
       self,
@@ -124,7 +127,7 @@
       { platform, clock, random, feed, dialer: new TcpDialer(codec) },
     );
     this.source = new Source(platform, clock, random);
-    this.rollouts = this.#followedRollouts();
+    this.rollouts = this.#createRollouts();
     const balancer = new Balancer(this.roster, clock, random, this.rollouts?.plan);
     this.guard = ports.guard;
     this.guard.configuration = () => this.replica.current;
@@ -144,8 +147,8 @@
     );
     const { mesh, methods, ranking } = this.control;
     const takesKeys = dialect?.takesKeys ?? true;
-    const grounds = { platform, clock, random, mesh, methods, ranking, takesKeys };
-    this.safeguards = new Safeguards(self.instance, grounds);
+    const safeguardParts = { platform, clock, random, mesh, methods, ranking, takesKeys };
+    this.safeguards = new Safeguards(self.instance, safeguardParts);
     this.safeguards.protect(this.entry, this.guard);
     this.entryMeter = new RequestMeter(this.entry.server, clock);
     this.guardMeter = new RequestMeter(this.guard.server, clock);
@@ -164,17 +167,17 @@
     this.replica.onApplied(() => {
       this.#appliedAt = clock.now();
     });
-    recordBeliefs(this.control, platform, this.log, clock);
+    recordStateChanges(this.control, platform, this.log, clock);
   }
 
-  /** Whether release notes are accepted here, or the configuration comes from elsewhere. */
+  /** Whether this process accepts release notes: its configuration comes from their log. */
   get acceptsNotes(): boolean {
-    return this.surroundings.feed === undefined;
+    return this.dependencies.feed === undefined;
   }
 
-  /** Opens the ports, joins the others and starts all tasks. */
-  static async start(settings: Settings, surroundings: Surroundings): Promise<Instance> {
-    const { clock, dialect } = surroundings;
+  /** Opens the ports, joins the fleet and starts all tasks. */
+  static async start(settings: Settings, dependencies: InstanceDependencies): Promise<Instance> {
+    const { clock, dialect } = dependencies;
     const uplink = new Uplink(clock, settings.uplinkKbps);
     const presence = new Presence(clock);
     const guard = new Guard(clock, dialect, uplink, presence);
@@ -193,27 +196,28 @@
       sequence: 0,
       liveness: 'alive',
     };
-    const instance = new Instance(settings, surroundings, self, ports);
+    const instance = new Instance(settings, dependencies, self, ports);
     await instance.#open();
     return instance;
   }
 
   /**
-   * Whether callers should be sent here: the configuration held is known not to be an old one, and
-   * this process is not stopping.
+   * Whether callers may send requests here: the configuration is known to be no older than the one
+   * this instance had before, and the process is not stopping.
    */
   get isReady(): boolean {
     return this.control.readiness.isReady && !this.#isStopping;
   }
 
   /**
-   * Stops without cutting what is in flight, by `deadline` at the latest (milliseconds since the
-   * epoch); disposal follows. The ports stay open until the others have heard of it: a request
-   * that meets a port closing under it is lost, and nobody can tell whether it ran. Callers take
-   * longer to hear of it than other processes do, so the upstream instance works on meanwhile.
+   * Stops gracefully: waits for requests in flight, until `deadline` at the latest (milliseconds
+   * since the epoch); disposal follows. The ports stay open until other processes and callers know
+   * of the stop: a request that arrives while its port closes is lost, and it is unknown whether it
+   * ran. Callers learn of it later than other processes do, so the upstream instance keeps working
+   * until the last `drainMs` of the notice.
    */
   async stop(deadline: number): Promise<void> {
-    const { clock } = this.surroundings;
+    const { clock } = this.dependencies;
     const closeAt = Math.min(deadline, clock.now() + this.settings.noticeMs);
     this.#isStopping = true;
     this.entry.traffic.leave();
@@ -225,7 +229,7 @@
     this.entry.traffic.close();
     await this.entry.traffic.finish(deadline);
     await this.guard.traffic.finish(deadline);
-    await this.#farewell();
+    await this.#logStopped();
   }
 
   get replica(): Replica {
@@ -240,9 +244,9 @@
     return this.control.roster;
   }
 
-  /** How long the version has been in force here. */
+  /** Time since the current version was put in force by this process, in seconds. */
   versionAgeSeconds(): number {
-    return (this.surroundings.clock.now() - this.#appliedAt) / MS_PER_SECOND;
+    return (this.dependencies.clock.now() - this.#appliedAt) / MS_PER_SECOND;
   }
 
   get callerPort(): number {
@@ -266,15 +270,16 @@
   }
 
   /**
-   * The upstream instance may have been running on while this process was restarted. Until its
-   * next announcement it would get no work, and callers would be refused with its slots free. One
-   * that declines may have told the process before that it drains.
+   * Asks the local upstream instance for its state. It may have kept running while this process
+   * restarted. Until its next announcement it would get no work, and callers would be refused
+   * although it has free slots. An instance that declines may have announced its drain to the
+   * previous process, so a single `ready` is not trusted then.
    */
-  async #lookBeside(): Promise<void> {
+  async #probeUpstream(): Promise<void> {
     const { upstreamName, upstreamAddress } = this.settings;
     if (upstreamName === undefined || upstreamAddress === undefined) return;
-    const { clock, dialect = OWN_DIALECT } = this.surroundings;
-    await this.replica.above(0, clock.now() + FIRST_LOOK_MS, clock, NEVER);
+    const { clock, dialect = OWN_DIALECT } = this.dependencies;
+    await this.replica.above(0, clock.now() + CONFIGURATION_TIMEOUT_MS, clock, NEVER_ABORTED);
     const path = this.replica.current.find('upstream', upstreamName)?.healthPath;
     if (path === undefined) return;
     const { endpointLease } = this.control;
@@ -290,17 +295,17 @@
     });
   }
 
-  /** The last lines: whoever looks for a cut request wants to know what was left then. */
-  async #farewell(): Promise<void> {
-    const { clock } = this.surroundings;
+  /** Logs how many requests the stop cuts, for whoever traces one of them, and drains the log. */
+  async #logStopped(): Promise<void> {
+    const { clock } = this.dependencies;
     const inFlight = this.entry.traffic.inFlight + this.guard.traffic.inFlight;
     this.#tally.flush();
     this.log.record('info', { event: 'stopped', inFlight });
-    await this.log.drain(clock.now() + LAST_LINES_MS);
+    await this.log.drain(clock.now() + LOG_DRAIN_TIMEOUT_MS);
   }
 
-  #followedRollouts(): Rollouts | undefined {
-    const { orders: source, clock, random } = this.surroundings;
+  #createRollouts(): Rollouts | undefined {
+    const { orders: source, clock, random } = this.dependencies;
     if (!source) return undefined;
     const { roster, ranking, mesh, methods, endpointLease } = this.control;
     endpointLease.tellsVersion = true;
@@ -313,13 +318,13 @@
   #retries(): Retries {
     const { retryPercent, retrySlack, retryWindowMs } = this.settings;
     if (retrySlack === undefined) return { ...USUAL_RETRIES, percent: retryPercent };
-    // Members that were lost count too: behind a cut each side would else take all of it.
+    // Lost members count, too: in a partition each side would otherwise use the whole allowance.
     const allowance = () => partOf(retrySlack, retryWindowMs, this.roster.size);
     return { percent: retryPercent, allowance };
   }
 
   async #open(): Promise<void> {
-    const { codec } = this.surroundings;
+    const { codec } = this.dependencies;
     const { host, operatorsPort } = this.settings;
     this.#linkServer.on('connection', (socket) =>
       this.control.mesh.accept(new TcpLink(socket, codec)),
@@ -331,15 +336,16 @@
     const { dataCentre, incarnation } = this.roster.self;
     const { callerPort } = this;
     this.log.record('info', { event: 'started', dataCentre, callerPort, incarnation });
-    void this.#lookBeside();
+    void this.#probeUpstream();
   }
 }
 
+/** Parts that are created before the instance, with the ports that are already bound. */
 interface OpenPorts {
   readonly guard: Guard;
-  /** By which answers of both hops leave this machine. */
+  /** The network link that carries the responses of entry and guard. */
   readonly uplink: Uplink;
-  /** Both hops pass requests on in the same turns. */
+  /** Shared, so that entry and guard check their callers in the same turns of the event loop. */
   readonly presence: Presence;
   readonly link: Server;
 }
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -1,4 +1,4 @@
-/** Runs one process of the system until it is told to stop. */
+/** Command line of the daemon: runs one instance until SIGTERM or SIGINT. */
 import { once } from 'node:events';
 import { cac } from 'cac';
 import { type Codec, JsonCodec, MsgpackCodec } from '../link/codec.js';
@@ -12,13 +12,13 @@
 import { EXIT_OK, EXIT_SETTINGS } from './exit.js';
 import { sayLastWords } from './last_words.js';
 import { Instance } from './instance.js';
-import { ABOUT, flagName, readSettings, type Settings, SettingsError } from './settings.js';
+import { FLAG_HELP, flagName, readSettings, type Settings, SettingsError } from './settings.js';
 
-/** Exit codes: 0 after a stop that was asked for, 2 for settings that cannot be used. */
+/** Resolves to the exit code: 0 after a requested stop or `--help`, 2 for invalid settings. */
 export async function main(argv: string[], environment: NodeJS.ProcessEnv): Promise<number> {
   const command = cac('barleyhavend');
-  for (const [setting, about] of Object.entries(ABOUT)) {
-    command.option(`--${flagName(setting)} <value>`, about);
+  for (const [setting, description] of Object.entries(FLAG_HELP)) {
+    command.option(`--${flagName(setting)} <value>`, description);
   }
   command.help();
   const { options } = command.parse(argv, { run: false });
@@ -40,8 +40,8 @@
   const codec = codecFor(settings);
   const random = new MachineRandom();
   const log = new LineLog(settings.instance, settings.logLevel, standardOutput(), clock);
-  const surroundings = { platform, clock, random, codec, log };
-  await using instance = await Instance.start(settings, surroundings);
+  const dependencies = { platform, clock, random, codec, log };
+  await using instance = await Instance.start(settings, dependencies);
   const { callerPort, operatorsPort } = instance;
   const { linkPort, guardPort } = instance.roster.self;
   const ports = { callerPort, guardPort, linkPort, operatorsPort };
--- a/src/daemon/metrics.ts
+++ b/src/daemon/metrics.ts
@@ -1,4 +1,4 @@
-/** Counters of one process in the Prometheus text format. */
+/** Metrics of one process in the Prometheus text format. */
 import { Gauge, Registry } from 'prom-client';
 import { type Peer } from '../link/peer.js';
 import { histogramText } from './ended_requests.js';
@@ -10,7 +10,7 @@
 const MS_PER_SECOND = 1_000;
 const MICROSECONDS_PER_SECOND = 1_000_000;
 
-/** Values are read when they are asked for; nothing is kept twice. */
+/** Values are read on each scrape; no copies are kept. */
 export class Metrics {
   readonly #registry = new Registry();
 
@@ -135,7 +135,7 @@
   }
 
   #platform(): void {
-    const { meter } = this.instance.surroundings.platform;
+    const { meter } = this.instance.dependencies.platform;
     this.#gauge('platform_away', '1 while calls to the platform fail', () => Number(meter.isAway));
     this.#labelled(
       'platform_calls',
--- a/src/daemon/operators_port.ts
+++ b/src/daemon/operators_port.ts
@@ -1,4 +1,4 @@
-/** What operators, the tool and the upstream instance beside the process talk to. */
+/** HTTP server for operators, their tool and the local upstream instance. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { type JSONRPCServer, type JSONRPCRequest } from 'json-rpc-2.0';
 import { Announcement } from '../membership/announcement.js';
@@ -29,7 +29,7 @@
     try {
       await this.#dispatch(request, response);
     } catch (error) {
-      answer(response, 400, { message: String(error) });
+      respond(response, 400, { message: String(error) });
     }
   }
 
@@ -37,25 +37,25 @@
     const url = new URL(request.url ?? '/', 'http://operators');
     switch (url.pathname) {
       case '/rpc': {
-        const payload = JSON.parse(await read(request)) as JSONRPCRequest;
-        answer(response, 200, await this.#rpc.receive(payload));
+        const payload = JSON.parse(await readBody(request)) as JSONRPCRequest;
+        respond(response, 200, await this.#rpc.receive(payload));
         return;
       }
       case '/announcement': {
-        const announcement = Announcement.parse(JSON.parse(await read(request)));
+        const announcement = Announcement.parse(JSON.parse(await readBody(request)));
         this.instance.control.endpointLease.take(announcement);
-        answer(response, 200, {});
+        respond(response, 200, {});
         return;
       }
       case '/ready': {
         const { isReady } = this.instance;
-        answer(response, isReady ? 200 : 503, { ready: isReady });
+        respond(response, isReady ? 200 : 503, { ready: isReady });
         return;
       }
       case '/version': {
-        await this.#versionAbove(url, response);
+        await this.#waitForVersionAbove(url, response);
         const { number, digest } = this.instance.replica.current;
-        answer(response, 200, { number, digest });
+        respond(response, 200, { number, digest });
         return;
       }
       case '/metrics':
@@ -63,28 +63,31 @@
         response.end(await this.#metrics.text());
         return;
       case '/endpoints':
-        answer(response, 200, { endpoints: this.instance.roster.endpoints });
+        respond(response, 200, { endpoints: this.instance.roster.endpoints });
         return;
       case '/configuration':
-        answer(response, 200, this.instance.replica.snapshot());
+        respond(response, 200, this.instance.replica.snapshot());
         return;
       default:
-        answer(response, 404, { message: 'nothing here' });
+        respond(response, 404, { message: `not found: ${url.pathname}` });
     }
   }
 
-  /** Waits for a version above `above`, up to `wait` milliseconds; at once without them. */
-  async #versionAbove({ searchParams }: URL, response: ServerResponse): Promise<void> {
-    const { replica, surroundings } = this.instance;
+  /**
+   * Resolves when a version above the query parameter `above` is in force, after `wait`
+   * milliseconds or when the client disconnects. Without parameters it resolves immediately.
+   */
+  async #waitForVersionAbove({ searchParams }: URL, response: ServerResponse): Promise<void> {
+    const { replica, dependencies } = this.instance;
     const above = Number(searchParams.get('above') ?? -1);
-    const until = surroundings.clock.now() + Number(searchParams.get('wait') ?? 0);
-    const gone = new AbortController();
-    response.once('close', () => gone.abort());
-    await replica.above(above, until, surroundings.clock, gone.signal);
+    const deadline = dependencies.clock.now() + Number(searchParams.get('wait') ?? 0);
+    const disconnected = new AbortController();
+    response.once('close', () => disconnected.abort());
+    await replica.above(above, deadline, dependencies.clock, disconnected.signal);
   }
 }
 
-function answer(response: ServerResponse, status: number, body: unknown): void {
+function respond(response: ServerResponse, status: number, body: unknown): void {
   const text = JSON.stringify(body);
   response.writeHead(status, {
     'content-type': 'application/json',
@@ -93,12 +96,12 @@
   response.end(text);
 }
 
-async function read(request: IncomingMessage): Promise<string> {
+async function readBody(request: IncomingMessage): Promise<string> {
   const chunks: Buffer[] = [];
   let size = 0;
   for await (const chunk of request) {
     size += (chunk as Buffer).length;
-    if (size > MAX_BODY_BYTES) throw new Error(`a body may have ${MAX_BODY_BYTES} bytes at most`);
+    if (size > MAX_BODY_BYTES) throw new Error(`request body exceeds ${MAX_BODY_BYTES} bytes`);
     chunks.push(chunk as Buffer);
   }
   return Buffer.concat(chunks).toString();
--- a/src/daemon/request_meter.ts
+++ b/src/daemon/request_meter.ts
@@ -1,29 +1,32 @@
-/** Counts what becomes of the requests of one server, whoever ends them. */
+/** Counts the requests of one HTTP server by how they end, and measures latency. */
 import { type IncomingMessage, type Server, type ServerResponse } from 'node:http';
-// The package's entry also loads its log formats and a compiled variant, which a start would pay for.
+// The main module of the package also loads its log formats and a compiled variant: a slower start.
 import { constructorFromBucketSize } from 'hdr-histogram-js/dist/JsHistogramFactory.js';
 import { REASON, VERDICT } from '../requests/headers.js';
 import { type Clock } from '../runtime/clock.js';
 
 /** How requests ended. */
 export interface Ending {
-  /** `ran`, `not-run`, `may-have-run`, or `cut` when the connection went before the end. */
+  /** `ran`, `not-run`, `may-have-run`, or `cut` if the connection closed before the response ended. */
   readonly verdict: string;
-  /** Stable name of the cause of a refusal; `none` for answers. */
+  /** Stable name of the cause of a refusal; `none` for other responses. */
   readonly reason: string;
 }
 
-const STEPS_PER_MS = 1_000;
-const HIGHEST_MS = 600_000;
-const LOWEST = 1;
-/** Significant digits of a value. */
-const DIGITS = 2;
+const MICROSECONDS_PER_MS = 1_000;
+const MAX_LATENCY_MS = 600_000;
+const MIN_LATENCY = 1;
+const SIGNIFICANT_DIGITS = 2;
 const COUNTER_BITS = 32;
 const Counters = constructorFromBucketSize(COUNTER_BITS);
 
 export class RequestMeter {
-  /** Times from the request's head to the answer's end; answers only, in microseconds. */
-  readonly latency = new Counters(LOWEST, HIGHEST_MS * STEPS_PER_MS, DIGITS);
+  /** Time from the request's head to the response's end, in microseconds; refusals are left out. */
+  readonly latency = new Counters(
+    MIN_LATENCY,
+    MAX_LATENCY_MS * MICROSECONDS_PER_MS,
+    SIGNIFICANT_DIGITS,
+  );
 
   readonly #counts = new Map<string, { readonly ending: Ending; count: number }>();
 
@@ -34,19 +37,19 @@
     private readonly clock: Clock,
   ) {
     this.latency.autoResize = true;
-    server.on('request', (_: IncomingMessage, response: ServerResponse) => this.#enter(response));
+    server.on('request', (_: IncomingMessage, response: ServerResponse) => this.#track(response));
   }
 
   get inFlight(): number {
     return this.#inFlight;
   }
 
-  /** How many requests ended in which way. */
+  /** Number of requests for each combination of verdict and reason. */
   get endings(): readonly { readonly ending: Ending; readonly count: number }[] {
     return [...this.#counts.values()];
   }
 
-  #enter(response: ServerResponse): void {
+  #track(response: ServerResponse): void {
     const startedAt = this.clock.now();
     this.#inFlight += 1;
     response.once('close', () => {
@@ -58,7 +61,7 @@
       const reason = response.getHeader(REASON);
       this.#count(String(response.getHeader(VERDICT) ?? 'ran'), String(reason ?? 'none'));
       if (reason === undefined) {
-        this.latency.recordValue(Math.round((this.clock.now() - startedAt) * STEPS_PER_MS));
+        this.latency.recordValue(Math.round((this.clock.now() - startedAt) * MICROSECONDS_PER_MS));
       }
     });
   }
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -1,31 +1,42 @@
-/** Settings of the daemon: flags, or environment variables named after them. */
+/** Settings of the daemon, given as command-line flags or environment variables. */
 import * as z from 'zod';
 import { Name } from '../contracts.js';
 
 const Port = z.coerce.number().int().min(0).max(65_535);
 const Address = z
   .string()
-  .regex(/^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/, 'an IP number and a port, such as 127.0.0.1:7000')
+  .regex(
+    /^\d{1,3}(\.\d{1,3}){3}:\d{1,5}$/,
+    'must be an IPv4 address and a port, such as 127.0.0.1:7000',
+  )
   .transform((text) => {
     const [host = '', port = ''] = text.split(':');
     return { host, port: Number(port) };
   });
 
-/** Splits a comma-separated list; an empty text is an empty list. */
+/** Splits a comma-separated list; an empty string is an empty list. */
 const commaList = (text: unknown) =>
   typeof text === 'string' ? text.split(',').filter((part) => part !== '') : text;
 
 const Shape = {
   instance: z
     .string()
-    .regex(/^[A-Za-z0-9._-]{1,100}$/, 'letters, digits, dots, dashes, underscores; 100 at most'),
-  dataCentre: z.string().regex(/^[A-Za-z0-9._-]{1,100}$/, 'letters, digits, dots, dashes'),
-  host: z.ipv4('an IP number').default('127.0.0.1'),
+    .regex(
+      /^[A-Za-z0-9._-]{1,100}$/,
+      'must be 1 to 100 letters, digits, dots, dashes or underscores',
+    ),
+  dataCentre: z
+    .string()
+    .regex(
+      /^[A-Za-z0-9._-]{1,100}$/,
+      'must be 1 to 100 letters, digits, dots, dashes or underscores',
+    ),
+  host: z.ipv4('must be an IPv4 address').default('127.0.0.1'),
   callerPort: Port.default(8080),
   guardPort: Port.default(8081),
   linkPort: Port.default(8082),
   operatorsPort: Port.default(8083),
-  platform: z.url({ protocol: /^http$/, error: 'an http:// address' }),
+  platform: z.url({ protocol: /^http$/, error: 'must be an http:// URL' }),
   peers: z.preprocess(commaList, z.array(Address)).default([]),
   upstreamName: Name.optional(),
   upstreamAddress: Address.optional(),
@@ -45,57 +56,59 @@
   stopMs: z.coerce.number().int().min(0).max(600_000).default(30_000),
 };
 
-/** What each flag is for, as `--help` prints it. */
-export const ABOUT: Readonly<Record<keyof typeof Shape, string>> = {
+/** Description of each flag, printed by `--help`. */
+export const FLAG_HELP: Readonly<Record<keyof typeof Shape, string>> = {
   instance: 'Name of this instance, unique in the fleet',
-  dataCentre: 'Data centre it stands in',
-  host: 'IP number it listens on and is reached by',
-  callerPort: 'Port for callers; 0 takes any free one',
+  dataCentre: 'Data centre in which this instance runs',
+  host: 'IPv4 address to listen on, by which other processes reach this one',
+  callerPort: 'Port for callers; 0 picks any free port',
   guardPort: 'Port for requests from other processes',
   linkPort: 'Port for links from other processes',
-  operatorsPort: 'Port for operators, metrics and the announcements of the upstream',
-  platform: "Address of the platform's object API",
-  peers: 'Comma-separated host:port of some other link ports',
-  upstreamName: 'Name of the upstream beside this process, where it is known',
-  upstreamAddress: 'host:port of the upstream instance beside this process',
-  profile: 'What goes first: convergence or bytes',
+  operatorsPort: 'Port for operators, metrics and announcements of the local upstream instance',
+  platform: "URL of the platform's object API",
+  peers: 'Comma-separated host:port of the link ports of some other processes',
+  upstreamName: 'Name of the upstream whose local instance this process serves, if known',
+  upstreamAddress: 'host:port of the local upstream instance',
+  profile: 'What to optimise for: convergence (speed) or bytes (less traffic)',
   codec: 'Encoding on links, the same in the whole fleet: msgpack or json',
-  fanout: 'Children per process in the tree',
-  heartbeatMs: 'Pace of heartbeats on links, in milliseconds',
-  noticeMs: 'Time for others to learn of a stop before ports are closed, in milliseconds',
-  drainMs: 'The last part of it, in which the upstream instance gets no new work, in milliseconds',
-  leaseMs: 'How long an announcement of the upstream instance holds, in milliseconds',
-  retryPercent: 'Retries, as a percentage of answered requests, where no limit says it',
+  fanout: 'Children per process in the distribution tree',
+  heartbeatMs: 'Interval between heartbeats on links, in milliseconds',
+  noticeMs: 'Time between announcing a stop and closing the ports, in milliseconds',
+  drainMs:
+    'Final part of the notice, in which the upstream instance gets no new work, in milliseconds',
+  leaseMs: 'How long an announcement of the upstream instance is valid, in milliseconds',
+  retryPercent:
+    'Retries as a percentage of answered requests, for routes without a limit of their own',
   retrySlack:
-    'Retries beside them that the whole fleet may add in a window; each process by itself when absent',
-  retryWindowMs: 'That window, in milliseconds',
+    'Additional retries that the whole fleet may make per window; a fixed number per process if absent',
+  retryWindowMs: 'Length of the window of --retry-slack, in milliseconds',
   uplinkKbps:
-    'What the network link of this machine carries, in kilobits a second; heavy answers are not paced when absent',
+    'Capacity of the network link of this machine, in kilobits per second; large responses are not paced if absent',
   rolloutShare:
-    "Share of an upstream's requests that a bad version may get while it is rolled out, 0 to 1",
-  logLevel: 'Least level of lines on standard output: debug, info, warn or silent',
-  stopMs: 'Time a stop may take to let requests finish, in milliseconds',
+    "Largest share of an upstream's requests that a bad version may get during a roll-out, 0 to 1",
+  logLevel: 'Lowest level logged to standard output: debug, info, warn or silent',
+  stopMs: 'Longest time that a stop may take to finish requests in flight, in milliseconds',
 };
 
 export const Settings = z.strictObject(Shape);
 export type Settings = z.infer<typeof Settings>;
 
-/** A setting that cannot be used, with the flag, the value and what is allowed. */
+/** An invalid setting; the message names the flag, the value and what is allowed. */
 export class SettingsError extends Error {
   override readonly name = 'SettingsError';
 }
 
-/** `dataCentre` as `data-centre`. */
+/** Turns the name of a setting into its flag: `dataCentre` into `data-centre`. */
 export function flagName(setting: string): string {
   return setting.replace(/[A-Z]/g, (letter) => `-${letter.toLowerCase()}`);
 }
 
-/** Name of the environment variable that stands in for a flag. */
+/** Name of the environment variable that is read if the flag is absent. */
 export function variableName(setting: string): string {
   return `BARLEYHAVEN_${flagName(setting).replaceAll('-', '_').toUpperCase()}`;
 }
 
-/** Reads settings; flags go before the environment. Throws `SettingsError`. */
+/** Reads settings; flags take precedence over the environment. Throws `SettingsError`. */
 export function readSettings(
   flags: Readonly<Record<string, unknown>>,
   environment: NodeJS.ProcessEnv,
--- a/src/daemon/status.ts
+++ b/src/daemon/status.ts
@@ -1,38 +1,45 @@
-/** Puts together what the log says and what the fleet says. */
+/** Status report: versions from the log, combined with a survey of the fleet. */
 import { OutcomeError, type Standing, type Status } from '../contracts.js';
-import { type Operated } from './operator_methods.js';
+import { type OperatedInstance } from './operator_methods.js';
 
-/** Versions that are shown. */
-const SHOWN = 10;
+/** Number of versions in a report. */
+const MAX_VERSIONS = 10;
 const LOG_TIMEOUT_MS = 2_000;
 
-/** The latest versions, or those of one note, and how far the fleet has come with them. */
-export async function statusOf(instance: Operated, note?: string): Promise<Status> {
-  const { surroundings, surveyor, replica } = instance;
-  const { clock } = surroundings;
+/**
+ * Reports the latest versions, or those of one release note, and which versions the processes of
+ * the fleet hold. If the log cannot be read, the versions are those that this process holds.
+ */
+export async function statusOf(instance: OperatedInstance, note?: string): Promise<Status> {
+  const { dependencies, surveyor, replica } = instance;
+  const { clock } = dependencies;
   const deadline = clock.now() + LOG_TIMEOUT_MS;
   const [logged, survey] = await Promise.all([
     readLog(instance, note, deadline),
     surveyor.survey(),
   ]);
-  const versions = logged ?? heldHere(instance, note);
-  // Another process may be ahead of both the answer of the log and this one.
-  const furthest = Math.max(0, ...survey.holding.map(({ version }) => version));
+  const versions = logged ?? heldVersions(instance, note);
+  // Another process may hold a later version than both the log as read and this process.
+  const highestHeld = Math.max(0, ...survey.holding.map(({ version }) => version));
   const latest = versions[0]?.number ?? 0;
-  const head = Math.max(latest, furthest, replica.current.number);
+  const head = Math.max(latest, highestHeld, replica.current.number);
   const rollouts = instance.rollouts?.orders.all() ?? [];
   return { asOf: clock.now(), head, isLogRead: logged !== undefined, versions, survey, rollouts };
 }
 
 async function readLog(
-  { source, replica }: Operated,
+  { source, replica }: OperatedInstance,
   note: string | undefined,
   deadline: number,
 ): Promise<Standing[] | undefined> {
   try {
     const records = note
-      ? await source.versionsOf(note, SHOWN, deadline)
-      : await source.recent(Math.max(0, replica.current.number - SHOWN), SHOWN, deadline);
+      ? await source.versionsOf(note, MAX_VERSIONS, deadline)
+      : await source.recent(
+          Math.max(0, replica.current.number - MAX_VERSIONS),
+          MAX_VERSIONS,
+          deadline,
+        );
     return records.reverse().map(({ version, action, author }) => {
       const { number, acceptedAt } = version;
       return { number, note: version.note, acceptedAt, action, author };
@@ -43,8 +50,8 @@
   }
 }
 
-function heldHere({ replica }: Operated, note: string | undefined): Standing[] {
-  const recent = replica.since(Math.max(0, replica.current.number - SHOWN)) ?? [];
+function heldVersions({ replica }: OperatedInstance, note: string | undefined): Standing[] {
+  const recent = replica.since(Math.max(0, replica.current.number - MAX_VERSIONS)) ?? [];
   return recent
     .filter((version) => note === undefined || version.note === note)
     .map(({ number, note: id, acceptedAt }) => ({ number, note: id, acceptedAt }))
--- a/src/logs/events.ts
+++ b/src/logs/events.ts
@@ -6,14 +6,14 @@
 import { RolloutPhase, Verdict } from '../contracts.js';
 
 /** Work at an upstream instance, as it was known when a decision was made. */
-const LoadSeen = {
+const LoadFields = {
   inFlight: z.number(),
   slots: z.number(),
   waiting: z.number(),
 };
 
 /** How a request ended at one hop. */
-const Ending = {
+const EndFields = {
   route: z.string().optional(),
   upstream: z.string().optional(),
   verdict: z.union([Verdict, z.literal('cut')]),
@@ -59,7 +59,7 @@
     attempt: z.number(),
     /** By which endpoints are compared: the time that one more request is expected to take. */
     costMs: z.number(),
-    ...LoadSeen,
+    ...LoadFields,
     /** How old the load is that the endpoint reported; absent before its first report. */
     loadAgeMs: z.number().optional(),
   }),
@@ -90,16 +90,16 @@
     event: z.literal('admitted'),
     exchange: z.string(),
     waitedMs: z.number(),
-    ...LoadSeen,
+    ...LoadFields,
   }),
-  z.object({ event: z.literal('entry-ended'), ...Ending }),
+  z.object({ event: z.literal('entry-ended'), ...EndFields }),
   z.object({
     event: z.literal('guard-ended'),
     exchange: z.string(),
-    ...LoadSeen,
+    ...LoadFields,
     /** Until all heavy answers that are promised have left by the link. */
     leavingMs: z.number().optional(),
-    ...Ending,
+    ...EndFields,
   }),
 ]);
 export type RequestEvent = z.infer<typeof RequestEvent>;
@@ -248,7 +248,7 @@
 export type ProcessEvent = z.infer<typeof ProcessEvent>;
 
 /** What stands in every line besides. */
-export const Stamp = z.object({
+export const CommonFields = z.object({
   level: z.string(),
   at: z.number(),
   instance: z.string(),
@@ -256,5 +256,5 @@
   id: z.string().optional(),
 });
 
-export const Line = Stamp.and(z.union([RequestEvent, ProcessEvent]));
+export const Line = CommonFields.and(z.union([RequestEvent, ProcessEvent]));
 export type Line = z.infer<typeof Line>;
--- a/src/logs/line_buffer.ts
+++ b/src/logs/line_buffer.ts
@@ -7,22 +7,22 @@
 /** Share of it that routine lines may fill: failures during a standstill must still find room. */
 const ROUTINE_SHARE = 0.5;
 /** Lines are written together: each write costs a system call and a wake-up. In milliseconds. */
-const GATHER_MS = 200;
+const FLUSH_DELAY_MS = 200;
 /**
  * Most bytes of one write. A pipe takes so many in one piece (POSIX's `PIPE_BUF` on Linux); of
  * more, parts could land in the middle of what another process writes to the same collector.
  */
-const WRITE_BYTES = 4_096;
+const MAX_WRITE_BYTES = 4_096;
 /** How often an end is looked for at a stop, in milliseconds. */
-const LOOK_EVERY_MS = 10;
+const POLL_INTERVAL_MS = 10;
 
 /** Lines that found no room. */
-export interface Dropped {
+export interface DroppedLines {
   readonly routine: number;
   readonly important: number;
 }
 
-const NONE: Dropped = { routine: 0, important: 0 };
+const NONE: DroppedLines = { routine: 0, important: 0 };
 
 export class LineBuffer {
   #lines: string[] = [];
@@ -30,11 +30,11 @@
   #bytes = 0;
 
   /** Bytes that the sink has in hand. */
-  #writing = 0;
+  #bytesInWrite = 0;
 
   #timer: NodeJS.Timeout | undefined;
 
-  #unsaid = NONE;
+  #unreported = NONE;
 
   #dropped = NONE;
 
@@ -42,26 +42,26 @@
     private readonly sink: Sink,
     private readonly clock: Clock,
     /** Called after lines were dropped, once there is room to say so. */
-    private readonly onRoom: (unsaid: Dropped) => void = () => {},
+    private readonly onDropped: (unsaid: DroppedLines) => void = () => {},
     private readonly capacity: number = CAPACITY_BYTES,
   ) {}
 
   /** Lines dropped since the start. */
-  get dropped(): Dropped {
+  get dropped(): DroppedLines {
     return this.#dropped;
   }
 
   /** Takes a line, its end included; drops it when there is no room. */
   write(line: string, isRoutine: boolean): void {
     const room = isRoutine ? this.capacity * ROUTINE_SHARE : this.capacity;
-    if (this.#bytes + this.#writing + line.length > room) {
-      this.#unsaid = withOne(this.#unsaid, isRoutine);
-      this.#dropped = withOne(this.#dropped, isRoutine);
+    if (this.#bytes + this.#bytesInWrite + line.length > room) {
+      this.#unreported = increment(this.#unreported, isRoutine);
+      this.#dropped = increment(this.#dropped, isRoutine);
       return;
     }
     this.#lines.push(line);
     this.#bytes += line.length;
-    if (this.#writing === 0) this.#schedule();
+    if (this.#bytesInWrite === 0) this.#schedule();
   }
 
   /** Resolves when everything is written, or at the deadline (milliseconds since the epoch). */
@@ -69,8 +69,8 @@
     clearTimeout(this.#timer);
     this.#timer = undefined;
     this.#flush();
-    while (this.#writing > 0 && this.clock.now() < deadline) {
-      await this.clock.sleepUntil(Math.min(deadline, this.clock.now() + LOOK_EVERY_MS));
+    while (this.#bytesInWrite > 0 && this.clock.now() < deadline) {
+      await this.clock.sleepUntil(Math.min(deadline, this.clock.now() + POLL_INTERVAL_MS));
     }
   }
 
@@ -78,42 +78,42 @@
     this.#timer ??= setTimeout(() => {
       this.#timer = undefined;
       this.#flush();
-    }, GATHER_MS).unref();
+    }, FLUSH_DELAY_MS).unref();
   }
 
   #flush(): void {
-    if (this.#lines.length === 0 || this.#writing > 0) return;
-    const lines = this.#takePiece();
+    if (this.#lines.length === 0 || this.#bytesInWrite > 0) return;
+    const lines = this.#takeBatch();
     const text = lines.join('');
-    this.#writing = text.length;
+    this.#bytesInWrite = text.length;
     this.#bytes -= text.length;
     this.sink.write(text).then(
-      () => this.#written(),
-      () => this.#lost(lines.length),
+      () => this.#writeEnded(),
+      () => this.#writeFailed(lines.length),
     );
   }
 
   /** Nobody reads any more, or the descriptor is closed: there is nowhere to say more than that. */
-  #lost(count: number): void {
+  #writeFailed(count: number): void {
     const { routine, important } = this.#dropped;
     this.#dropped = { routine, important: important + count };
-    this.#written();
+    this.#writeEnded();
   }
 
-  #written(): void {
-    this.#writing = 0;
-    const unsaid = this.#unsaid;
-    this.#unsaid = NONE;
-    if (unsaid !== NONE) this.onRoom(unsaid);
+  #writeEnded(): void {
+    this.#bytesInWrite = 0;
+    const unsaid = this.#unreported;
+    this.#unreported = NONE;
+    if (unsaid !== NONE) this.onDropped(unsaid);
     this.#flush();
   }
 
   /** Whole lines, as many as go into one write. */
-  #takePiece(): string[] {
+  #takeBatch(): string[] {
     let size = 0;
     let count = 0;
     for (const line of this.#lines) {
-      if (count > 0 && size + line.length > WRITE_BYTES) break;
+      if (count > 0 && size + line.length > MAX_WRITE_BYTES) break;
       size += line.length;
       count += 1;
     }
@@ -121,6 +121,6 @@
   }
 }
 
-function withOne({ routine, important }: Dropped, isRoutine: boolean): Dropped {
+function increment({ routine, important }: DroppedLines, isRoutine: boolean): DroppedLines {
   return isRoutine ? { routine: routine + 1, important } : { routine, important: important + 1 };
 }
--- a/src/logs/log.ts
+++ b/src/logs/log.ts
@@ -2,7 +2,7 @@
 import { pino } from 'pino';
 import { type Clock } from '../runtime/clock.js';
 import { type ProcessEvent, type RequestEvent } from './events.js';
-import { type Dropped, LineBuffer } from './line_buffer.js';
+import { type DroppedLines, LineBuffer } from './line_buffer.js';
 import { type Sink } from './sink.js';
 
 /**
@@ -13,22 +13,22 @@
 export type Level = 'debug' | 'info' | 'warn';
 
 /** What a process writes; `silent` writes nothing. */
-export type LeastLevel = Level | 'silent';
+export type MinLevel = Level | 'silent';
 
 /** Order of the levels. */
-const RANK: Readonly<Record<LeastLevel, number>> = { debug: 0, info: 1, warn: 2, silent: 3 };
+const LEVEL_ORDER: Readonly<Record<MinLevel, number>> = { debug: 0, info: 1, warn: 2, silent: 3 };
 
 /** A line about a request, or about the process. */
-export type Recorded = ProcessEvent | (RequestEvent & { readonly id: string });
+export type LogEvent = ProcessEvent | (RequestEvent & { readonly id: string });
 
 export abstract class Log {
-  abstract readonly dropped: Dropped;
+  abstract readonly dropped: DroppedLines;
 
   /** Whether lines of that level are written. */
-  abstract writes(level: Level): boolean;
+  abstract isEnabled(level: Level): boolean;
 
   /** Writes a line. `at` is when it happened, in milliseconds since the epoch; now when absent. */
-  abstract record(level: Level, event: Recorded, at?: number): void;
+  abstract record(level: Level, event: LogEvent, at?: number): void;
 
   /** Resolves when all is written, or at the deadline (milliseconds since the epoch). */
   abstract drain(deadline: number): Promise<void>;
@@ -36,9 +36,9 @@
 
 /** Writes nothing. */
 export class SilentLog extends Log {
-  readonly dropped: Dropped = { routine: 0, important: 0 };
+  readonly dropped: DroppedLines = { routine: 0, important: 0 };
 
-  writes(): boolean {
+  isEnabled(): boolean {
     return false;
   }
 
@@ -63,12 +63,12 @@
 
   constructor(
     instance: string,
-    private readonly least: LeastLevel,
+    private readonly minLevel: MinLevel,
     sink: Sink,
     private readonly clock: Clock,
   ) {
     super();
-    const sayDropped = (unsaid: Dropped) => {
+    const sayDropped = (unsaid: DroppedLines) => {
       this.record('warn', { event: 'lines-dropped', ...unsaid });
     };
     this.#buffer = new LineBuffer(sink, clock, sayDropped);
@@ -80,7 +80,7 @@
         this.#buffer.write(line, target.lastLevel <= pino.levels.values.debug!),
     };
     const options = {
-      level: least,
+      level: minLevel,
       base: { instance },
       timestamp: false,
       formatters: { level: (label: string) => ({ level: label }) },
@@ -88,16 +88,16 @@
     this.#lines = pino(options, target);
   }
 
-  get dropped(): Dropped {
+  get dropped(): DroppedLines {
     return this.#buffer.dropped;
   }
 
-  writes(level: Level): boolean {
-    return RANK[level] >= RANK[this.least];
+  isEnabled(level: Level): boolean {
+    return LEVEL_ORDER[level] >= LEVEL_ORDER[this.minLevel];
   }
 
-  record(level: Level, event: Recorded, at: number = this.clock.now()): void {
-    if (!this.writes(level)) return;
+  record(level: Level, event: LogEvent, at: number = this.clock.now()): void {
+    if (!this.isEnabled(level)) return;
     this.#lines[level]({ at: Math.round(at), ...event });
   }
 
--- a/src/logs/request_log.ts
+++ b/src/logs/request_log.ts
@@ -8,20 +8,20 @@
 import { type Level, type Log, SilentLog } from './log.js';
 
 /** Decisions kept for one request; those of the last attempts say how it ended. */
-const MAX_EVENTS = 24;
+const MAX_DECISIONS = 24;
 /** One of so many served requests is written, the same at all hops; of those not served all are. */
-const SERVED_SAMPLE = 16;
+const SERVED_SAMPLE_INTERVAL = 16;
 /** Served requests of which a process writes lines at most, in a second. */
 const SERVED_PER_SECOND = 20;
 /** Refused requests of which it writes all decisions, in a second. */
 const REFUSED_PER_SECOND = 20;
 /** Refused requests beyond those of which it writes the end, in a second: storms come cheap. */
-const ENDS_PER_SECOND = 200;
+const REFUSED_ENDS_PER_SECOND = 200;
 
-type Ended = Extract<RequestEvent, { readonly event: 'entry-ended' | 'guard-ended' }>;
+type EndEvent = Extract<RequestEvent, { readonly event: 'entry-ended' | 'guard-ended' }>;
 /** How a request ended at one hop. */
-export type Ending = Pick<
-  Ended,
+export type RequestEnd = Pick<
+  EndEvent,
   | 'verdict'
   | 'reason'
   | 'status'
@@ -36,10 +36,10 @@
 
 type Routed = Extract<RequestEvent, { readonly event: 'routed' }>;
 /** The answer that the caller got. */
-type Told = Pick<ServerResponse, 'statusCode'>;
+type SentResponse = Pick<ServerResponse, 'statusCode'>;
 
 /** What only the hop beside an upstream instance knows. */
-export interface Hop {
+export interface GuardState {
   readonly exchange: string;
   readonly inFlight: number;
   readonly slots: number;
@@ -48,9 +48,9 @@
 }
 
 /** How the body of an answer was passed on. */
-export type Relayed = Required<Pick<Ended, 'bytes' | 'relayMs'>>;
+export type Relayed = Required<Pick<EndEvent, 'bytes' | 'relayMs'>>;
 
-export interface About {
+export interface Destination {
   readonly route?: string;
   readonly upstream?: string;
 }
@@ -62,7 +62,7 @@
 
   readonly #refused: TokenBucket;
 
-  readonly #ends: TokenBucket;
+  readonly #refusedEnds: TokenBucket;
 
   /** Requests whose lines were left out since the start, by the bounds above. */
   leftOut = 0;
@@ -71,22 +71,22 @@
     private readonly log: Log,
     private readonly clock: Clock,
     /** Called with the end of each request, whether or not lines of it are written. */
-    private readonly onEnded: (ended: Ending) => void = () => {},
+    private readonly onEnded: (ended: RequestEnd) => void = () => {},
   ) {
     this.#served = new TokenBucket(clock, SERVED_PER_SECOND, SERVED_PER_SECOND);
     this.#refused = new TokenBucket(clock, REFUSED_PER_SECOND, REFUSED_PER_SECOND);
-    this.#ends = new TokenBucket(clock, ENDS_PER_SECOND, ENDS_PER_SECOND);
+    this.#refusedEnds = new TokenBucket(clock, REFUSED_ENDS_PER_SECOND, REFUSED_ENDS_PER_SECOND);
   }
 
   /** Begins with the request that its caller calls `id`. */
   begin(id: string): Trace {
-    return new Trace(id, this.clock, this.log.writes('warn') ? this : undefined, this.onEnded);
+    return new Trace(id, this.clock, this.log.isEnabled('warn') ? this : undefined, this.onEnded);
   }
 
   /** Writes the decisions about a request that has ended. */
-  write(id: string, decisions: readonly Decision[], ended: Ended): void {
+  write(id: string, decisions: readonly Decision[], ended: EndEvent): void {
     const level = levelOf(ended);
-    if (!this.log.writes(level)) return;
+    if (!this.log.isEnabled(level)) return;
     const isRoutine = level === 'debug';
     if (isRoutine && !isSampled(id)) {
       this.leftOut += 1;
@@ -94,7 +94,7 @@
     }
     if ((isRoutine ? this.#served : this.#refused).take()) {
       for (const { at, event } of decisions) this.log.record(level, { id, ...event }, at);
-    } else if (!isRoutine && this.#ends.take()) this.log.record(level, { id, ...ended });
+    } else if (!isRoutine && this.#refusedEnds.take()) this.log.record(level, { id, ...ended });
     else this.leftOut += 1;
   }
 }
@@ -111,7 +111,7 @@
   readonly startedAt: number;
 
   /** What it is about, as far as that is known. */
-  about: About = {};
+  about: Destination = {};
 
   /** Until when an answer is of full use, in milliseconds since the epoch. */
   #targetAt = Infinity;
@@ -124,7 +124,7 @@
     readonly id: string,
     private readonly clock: Clock,
     private readonly log: RequestLog | undefined,
-    private readonly onEnded: (ended: Ending) => void,
+    private readonly onEnded: (ended: RequestEnd) => void,
   ) {
     this.startedAt = clock.now();
   }
@@ -132,7 +132,7 @@
   /** Keeps a decision. It is written when the request has ended: whether it matters shows then. */
   note(event: RequestEvent): void {
     if (!this.log) return;
-    if (this.#decisions.length >= MAX_EVENTS) this.#decisions.splice(1, 1);
+    if (this.#decisions.length >= MAX_DECISIONS) this.#decisions.splice(1, 1);
     this.#decisions.push({ at: this.clock.now(), event });
   }
 
@@ -149,27 +149,27 @@
   }
 
   /** Ends it with the answer of an upstream instance. */
-  answered(event: 'entry-ended', response: Told): void;
-  answered(event: 'guard-ended', response: Told, hop: Hop): void;
-  answered(event: Ended['event'], { statusCode }: Told, hop?: Hop): void {
+  answered(event: 'entry-ended', response: SentResponse): void;
+  answered(event: 'guard-ended', response: SentResponse, hop: GuardState): void;
+  answered(event: EndEvent['event'], { statusCode }: SentResponse, hop?: GuardState): void {
     this.#end({ event, verdict: 'ran', reason: 'none', status: statusCode, ...hop });
   }
 
   /** Ends it with a refusal, or with an answer that was cut. */
-  failed(event: 'entry-ended', response: Told, outcome: OutcomeError, isCut: boolean): void;
+  failed(event: 'entry-ended', response: SentResponse, outcome: OutcomeError, isCut: boolean): void;
   failed(
     event: 'guard-ended',
-    response: Told,
+    response: SentResponse,
     outcome: OutcomeError,
     isCut: boolean,
-    hop: Hop,
+    hop: GuardState,
   ): void;
   failed(
-    event: Ended['event'],
-    { statusCode }: Told,
+    event: EndEvent['event'],
+    { statusCode }: SentResponse,
     outcome: OutcomeError,
     isCut: boolean,
-    hop?: Hop,
+    hop?: GuardState,
   ): void {
     const { reason, message, retryAt } = outcome;
     const now = this.clock.now();
@@ -184,7 +184,7 @@
     });
   }
 
-  #end(part: Omit<Ended, 'tookMs'>): void {
+  #end(part: Omit<EndEvent, 'tookMs'>): void {
     const now = this.clock.now();
     const tookMs = Math.round(now - this.startedAt);
     const ended = {
@@ -194,7 +194,7 @@
       tookMs,
       ...(now > this.#targetAt && { isLate: true }),
       ...(this.#isReturn && { isReturn: true }),
-    } as Ended;
+    } as EndEvent;
     this.note(ended);
     this.log?.write(this.id, this.#decisions, ended);
     this.onEnded(ended);
@@ -207,7 +207,7 @@
  */
 function isSampled(id: string): boolean {
   const hash = fnv1a(id);
-  return ((hash ^ (hash >>> 16)) >>> 0) % SERVED_SAMPLE === 0;
+  return ((hash ^ (hash >>> 16)) >>> 0) % SERVED_SAMPLE_INTERVAL === 0;
 }
 
 /** Keeps nothing, for processes that write no lines. */
@@ -215,11 +215,11 @@
   return new RequestLog(new SilentLog(), clock);
 }
 
-function levelOf(ended: Ended): Level {
+function levelOf(ended: EndEvent): Level {
   return isServed(ended) ? 'debug' : 'warn';
 }
 
 /** Whether the caller got a whole answer that is no failure of the upstream instance. */
-export function isServed({ verdict, status = 0 }: Pick<Ending, 'verdict' | 'status'>): boolean {
+export function isServed({ verdict, status = 0 }: Pick<RequestEnd, 'verdict' | 'status'>): boolean {
   return verdict === 'ran' && status < SERVER_ERROR;
 }
--- a/src/logs/tally.ts
+++ b/src/logs/tally.ts
@@ -2,7 +2,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type ProcessEvent } from './events.js';
 import { type Log } from './log.js';
-import { type Ending, isServed } from './request_log.js';
+import { type RequestEnd, isServed } from './request_log.js';
 
 type Line = Extract<ProcessEvent, { readonly event: 'tally' }>;
 type Counts = { -readonly [Field in keyof Line]: Line[Field] };
@@ -29,7 +29,7 @@
     private readonly clock: Clock,
   ) {}
 
-  add(ended: Ending): void {
+  add(ended: RequestEnd): void {
     const now = this.clock.now();
     if (now >= this.#startedAt + WINDOW_MS) this.flush();
     if (this.#routes.size === 0) this.#startedAt = now;
@@ -52,19 +52,19 @@
     this.#routes.clear();
   }
 
-  #countsOf({ route = NONE, upstream = NONE }: Ending): Counts {
+  #countsOf({ route = NONE, upstream = NONE }: RequestEnd): Counts {
     const isBeyond = this.#routes.size >= MAX_ROUTES && !this.#routes.has(route);
     const name = isBeyond ? OTHER : route;
     let counts = this.#routes.get(name);
     if (!counts) {
-      counts = noneOf(name, isBeyond ? OTHER : upstream);
+      counts = emptyCounts(name, isBeyond ? OTHER : upstream);
       this.#routes.set(name, counts);
     }
     return counts;
   }
 }
 
-function noneOf(route: string, upstream: string): Counts {
+function emptyCounts(route: string, upstream: string): Counts {
   const ends = { asked: 0, returned: 0, inTime: 0, late: 0, refused: 0, failed: 0, bytes: 0 };
   return { event: 'tally', route, upstream, ...ends, reasons: {} };
 }
--- a/src/test/daemon/ended_requests_test.ts
+++ b/src/test/daemon/ended_requests_test.ts
@@ -13,9 +13,9 @@
     expect(histogramText('seconds', 'How long', ended)).toMatchSnapshot();
   });
 
-  // A configuration grows by thousands of routes and each is asked for once. Series of their own
-  // for all of them would fill the memory of a small machine, and whoever reads the metrics.
-  it('gathers routes beyond a bound into one series', () => {
+  // Guards against one series per route: a configuration with thousands of routes would fill the
+  // memory of a small machine and overload the metrics collector.
+  it('combines routes beyond the limit into one series', () => {
     const ended = new EndedRequests('entry');
     for (let route = 0; route < 5_000; route++) {
       ended.add({ ...SERVED, route: `route-${route}`, upstream: 'listings', tookMs: 1 });
--- a/src/test/daemon/last_words_test.ts
+++ b/src/test/daemon/last_words_test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import { Line } from '../../logs/events.js';
 
-const run = promisify(execFile);
+const execFileAsync = promisify(execFile);
 const PROGRAM = `
 import { sayLastWords } from './src/daemon/last_words.ts';
 sayLastWords('arima-1');
@@ -11,28 +11,28 @@
 setTimeout(() => {}, 60_000);
 `;
 
-/** The lines and the exit code of a process in which that happens. */
-async function endOf(fault: string) {
+/** Runs a process that executes `fault`; resolves to its exit code and its last log line. */
+async function runUntilExit(fault: string) {
   const args = ['--import', 'tsx', '--input-type=module', '-e', PROGRAM.replace('FAULT', fault)];
-  const ended = await run(process.execPath, args).catch(
+  const ended = await execFileAsync(process.execPath, args).catch(
     (error: { code: number; stdout: string }) => error,
   );
   const lines = ended.stdout.trim().split('\n');
   return { code: 'code' in ended ? ended.code : 0, line: Line.parse(JSON.parse(lines.at(-1)!)) };
 }
 
-describe('sayLastWords', () => {
-  // A process ends by itself under load. Its lines stopped in the middle, its stack named one line of
-  // 84 kB, and nobody could tell when or why. Now the last line says so, and it ends with a code.
-  it('writes a last line about an exception that nobody catches, and ends', async () => {
-    const { code, line } = await endOf(`throw new TypeError('no such slot')`);
+describe('exitOnUncaughtException', () => {
+  // Guards against a process that crashes without a log line: the time and cause would be unknown,
+  // since the stack that Node prints only names a position in the bundle.
+  it('logs an uncaught exception as the last line and exits', async () => {
+    const { code, line } = await runUntilExit(`throw new TypeError('no such slot')`);
     expect(code).to.equal(1);
     expect(line).to.include({ event: 'ended', message: 'no such slot', instance: 'arima-1' });
     expect('stack' in line && line.stack).to.match(/TypeError: no such slot\n +at /);
   });
 
-  it('does the same for a promise that is rejected', async () => {
-    const { code, line } = await endOf(`void Promise.reject(new Error('lost'))`);
+  it('does the same for an unhandled rejection', async () => {
+    const { code, line } = await runUntilExit(`void Promise.reject(new Error('lost'))`);
     expect(code).to.equal(1);
     expect(line).to.include({ event: 'ended', origin: 'unhandledRejection', message: 'lost' });
   });
--- a/src/test/daemon/operator_methods_test.ts
+++ b/src/test/daemon/operator_methods_test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { type JSONRPCServer } from 'json-rpc-2.0';
-import { type Operated, operatorMethods } from '../../daemon/operator_methods.js';
+import { type OperatedInstance, operatorMethods } from '../../daemon/operator_methods.js';
 import { Fixture } from '../source/fixture.js';
 
 const TEXT = `
@@ -9,14 +9,14 @@
 add: { upstreams: [{ name: listings }] }
 `;
 
-/** The methods over a source alone; the rest of a process is not asked here. */
-function methodsOver(fixture: Fixture): JSONRPCServer {
+/** The operator methods of an instance that has only a source and a clock. */
+function methodsFor(fixture: Fixture): JSONRPCServer {
   const { clock } = fixture;
   return operatorMethods({
     source: fixture.source(),
     acceptsNotes: true,
-    surroundings: { clock },
-  } as Operated);
+    dependencies: { clock },
+  } as OperatedInstance);
 }
 
 async function call(methods: JSONRPCServer, method: string, params: unknown): Promise<unknown> {
@@ -25,9 +25,9 @@
 }
 
 describe('operatorMethods', () => {
-  it('audits a text that is no release note', async () => {
+  it('audits a text that is not a valid release note', async () => {
     using fixture = new Fixture();
-    const methods = methodsOver(fixture);
+    const methods = methodsFor(fixture);
     const answers = [
       await call(methods, 'submit', { text: '{id: [' }),
       await call(methods, 'amend', { text: `${TEXT}colour: blue` }),
@@ -38,9 +38,9 @@
     expect(answers).toMatchSnapshot();
   });
 
-  it('tells by a verdict whether a call that failed may have run', async () => {
+  it('returns a verdict on whether a failed call may have run', async () => {
     using fixture = new Fixture();
-    const methods = methodsOver(fixture);
+    const methods = methodsFor(fixture);
     const malformed = await call(methods, 'withdraw', { note: 'opening' });
     fixture.store.faults.down = true;
     const refused = await call(methods, 'submit', { text: TEXT });
--- a/src/test/daemon/request_meter_test.ts
+++ b/src/test/daemon/request_meter_test.ts
@@ -10,9 +10,9 @@
 const DRAINING = { verdict: 'not-run', reason: 'draining' } as const;
 
 describe('RequestMeter', () => {
-  // One caller is answered, one is refused, and the third loses its connection half way through
-  // the answer. The last one must not count as answered: the caller never got the whole of it.
-  it('tells answers, refusals and cut answers apart', async () => {
+  // Guards against counting a response as served although its connection closed half way through:
+  // that caller never received the whole of it.
+  it('counts complete, refused and cut responses separately', async () => {
     const server = createServer((incoming, response) => {
       if (incoming.url === '/refused') {
         refuse(response, new OutcomeError('leaving', DRAINING), 0);
--- a/src/test/daemon/settings_test.ts
+++ b/src/test/daemon/settings_test.ts
@@ -4,7 +4,7 @@
 const GOOD = { instance: 'a-1', dataCentre: 'arima', platform: 'http://127.0.0.1:9000' };
 
 describe('readSettings', () => {
-  it('takes flags before the environment, and defaults last', () => {
+  it('prefers flags to the environment and uses defaults for the rest', () => {
     const environment = { BARLEYHAVEN_FANOUT: '3', BARLEYHAVEN_PROFILE: 'bytes' };
     const settings = readSettings({ ...GOOD, profile: 'convergence' }, environment);
     expect(settings).toMatchSnapshot();
@@ -18,13 +18,13 @@
     ]);
   });
 
-  it('names the flag, the value and what is allowed, for each bad setting', () => {
+  it('names the flag, the value and what is allowed for each invalid setting', () => {
     const bad = { ...GOOD, callerPort: 70_000, peers: 'somewhere', profile: 'fast' };
     expect(() => readSettings(bad, { BARLEYHAVEN_FANOUT: '0' })).to.throw(SettingsError);
     expect(problemsOf(bad, { BARLEYHAVEN_FANOUT: '0' })).toMatchSnapshot();
   });
 
-  it('names settings that are missing', () => {
+  it('names missing settings', () => {
     expect(problemsOf({}, {})).toMatchSnapshot();
   });
 });
--- a/src/test/daemon/status_test.ts
+++ b/src/test/daemon/status_test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { type Survey } from '../../contracts.js';
-import { type Operated } from '../../daemon/operator_methods.js';
+import { type OperatedInstance } from '../../daemon/operator_methods.js';
 import { statusOf } from '../../daemon/status.js';
 import { Replica } from '../../distribution/replica.js';
 import { Fixture, note, OPENING, upstreams } from '../source/fixture.js';
@@ -14,7 +14,7 @@
 };
 
 /** A process that holds the first of three accepted versions. */
-async function processBehind(fixture: Fixture): Promise<Operated> {
+async function laggingProcess(fixture: Fixture): Promise<OperatedInstance> {
   const source = fixture.source();
   await source.submit(OPENING, fixture.deadline);
   await source.submit(note('more', { add: upstreams('bookings') }), fixture.deadline);
@@ -27,14 +27,14 @@
     source,
     replica,
     surveyor,
-    surroundings: { clock: fixture.clock },
-  } as unknown as Operated;
+    dependencies: { clock: fixture.clock },
+  } as unknown as OperatedInstance;
 }
 
 describe('statusOf', () => {
-  it('shows versions that no process holds yet, and the versions of one note', async () => {
+  it('lists versions that no process holds yet, and the versions of one release note', async () => {
     using fixture = new Fixture();
-    const process = await processBehind(fixture);
+    const process = await laggingProcess(fixture);
     const all = await statusOf(process);
     const opening = await statusOf(process, 'opening');
     expect([all.head, all.isLogRead]).to.deep.equal([3, true]);
@@ -42,11 +42,11 @@
     expect(opening.versions).toMatchSnapshot();
   });
 
-  // The platform is away while an operator asks. The process answers with what it holds itself,
-  // and says so: a later version may well have been accepted.
-  it('falls back to what the process holds, and says so', async () => {
+  // Guards against presenting the versions that a process holds as the log while the platform is
+  // unavailable: a later version may have been accepted.
+  it('falls back to the versions that the process holds, marked as such', async () => {
     using fixture = new Fixture();
-    const process = await processBehind(fixture);
+    const process = await laggingProcess(fixture);
     fixture.store.faults.down = true;
     const answers = [await statusOf(process), await statusOf(process, 'opening')];
     expect(answers).toMatchSnapshot();
--- a/src/test/daemon/stop_test.ts
+++ b/src/test/daemon/stop_test.ts
@@ -18,15 +18,15 @@
   },
 });
 
-async function serving(): Promise<Fleet> {
+async function startFleet(): Promise<Fleet> {
   const upstreams = ['bookings', 'bookings'];
   const fleet = await Fleet.start(clock, { dataCentres: ['arima'], upstreams });
   const [first] = fleet.stations;
-  const isAcquainted = ({ instance }: Station) =>
+  const knowsBothEndpoints = ({ instance }: Station) =>
     instance.isReady &&
     instance.roster.live().filter((member) => member.endpoint?.state === 'ready').length === 2;
   const deadline = clock.now() + LONG_MS;
-  await fleet.until(() => fleet.stations.every(isAcquainted), deadline);
+  await fleet.until(() => fleet.stations.every(knowsBothEndpoints), deadline);
   await new Client(`127.0.0.1:${first!.instance.operatorsPort}`).call('submit', NOTE);
   await fleet.until(
     () => fleet.stations.every(({ instance }) => instance.replica.current.number === 1),
@@ -39,19 +39,18 @@
   ask(port, { path: '/seats', method: 'POST', headers: { 'x-request': id }, body: 'x', agent });
 
 describe('Instance.stop', () => {
-  // A booking is running when the process beside its upstream is told to stop, and callers go on
-  // all the while, through both processes. The running one is answered whole; nothing is lost or
-  // refused, and the leaving upstream begins nothing from the moment its process knows.
-  it('finishes what is in flight and begins nothing new', async () => {
-    await using fleet = await serving();
+  // Guards against a stop that cuts or refuses requests: callers keep sending through both processes
+  // while one with bookings in flight stops. Its upstream instance must start no later booking.
+  it('finishes requests in flight and starts no new ones upstream', async () => {
+    await using fleet = await startFleet();
     const [leaving, staying] = fleet.stations as [Station, Station];
     const { callerPort } = leaving.instance;
     const agent = new Agent({ keepAlive: true });
     staying.upstream.delayMs = 50;
     leaving.upstream.delayMs = 300;
-    const begun = Promise.race([once(leaving.upstream, 'run'), once(staying.upstream, 'run')]);
+    const started = Promise.race([once(leaving.upstream, 'run'), once(staying.upstream, 'run')]);
     const running = Array.from({ length: 8 }, (_, index) => book(callerPort, `running-${index}`));
-    await begun;
+    await started;
     const stopped = leaving.instance.stop(clock.now() + LONG_MS);
     expect(leaving.instance.isReady).to.equal(false);
     const later = [];
@@ -69,10 +68,10 @@
     );
   });
 
-  // The upstream never answers what it has begun. The stop waits for it until its deadline only;
-  // the caller then sees a broken connection, never a part that looks whole.
-  it('is bounded by its deadline', async () => {
-    await using fleet = await serving();
+  // Guards against a stop that waits forever for an upstream that does not respond; the caller must
+  // see a closed connection, never a partial response that looks complete.
+  it('waits no longer than its deadline', async () => {
+    await using fleet = await startFleet();
     const [leaving] = fleet.stations as [Station];
     for (const { upstream } of fleet.stations) upstream.delayMs = LONG_MS * 6;
     const cut = book(leaving.instance.callerPort, 'stuck').then(
--- a/src/test/fake_time.ts
+++ b/src/test/fake_time.ts
@@ -17,10 +17,10 @@
     this.#timers.setTimeout(() => {
       ended = true;
     }, ms);
-    await settle();
+    await runMicrotasks();
     while (!ended) {
       this.#timers.next();
-      await settle();
+      await runMicrotasks();
     }
   }
 
@@ -36,7 +36,7 @@
   }
 }
 
-function settle(): Promise<void> {
+function runMicrotasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
--- a/src/test/logs/line_buffer_test.ts
+++ b/src/test/logs/line_buffer_test.ts
@@ -1,12 +1,12 @@
 import { expect } from 'chai';
-import { type Dropped, LineBuffer } from '../../logs/line_buffer.js';
+import { type DroppedLines, LineBuffer } from '../../logs/line_buffer.js';
 import { Sink } from '../../logs/sink.js';
 import { FakeTime } from '../fake_time.js';
 
-const GATHERED_MS = 250;
+const AFTER_FLUSH_MS = 250;
 
 /** A reader that reads when it is told to. */
-class HeldSink extends Sink {
+class ManualSink extends Sink {
   readonly texts: string[] = [];
 
   readonly #waiting: { read: () => void; close: (error: Error) => void }[] = [];
@@ -29,12 +29,12 @@
 
 describe('LineBuffer', () => {
   let time: FakeTime;
-  let sink: HeldSink;
-  let unsaid: Dropped[];
+  let sink: ManualSink;
+  let unsaid: DroppedLines[];
 
   beforeEach(() => {
     time = new FakeTime();
-    sink = new HeldSink();
+    sink = new ManualSink();
     unsaid = [];
   });
 
@@ -49,7 +49,7 @@
     buffer.write('one\n', false);
     buffer.write('two\n', true);
     expect(sink.texts).to.deep.equal([]);
-    await time.advance(GATHERED_MS);
+    await time.advance(AFTER_FLUSH_MS);
     expect(sink.texts).to.deep.equal(['one\ntwo\n']);
   });
 
@@ -60,7 +60,7 @@
     for (const line of ['ok 1\n', 'ok 2\n', 'ok 3\n', 'ok 4\n']) buffer.write(line, true);
     buffer.write('fail 1\n', false);
     buffer.write('a long line of a failure\n', false);
-    await time.advance(GATHERED_MS);
+    await time.advance(AFTER_FLUSH_MS);
     expect(sink.texts).to.deep.equal(['ok 1\nok 2\nfail 1\n']);
     expect(buffer.dropped).to.deep.equal({ routine: 2, important: 1 });
     expect(unsaid, 'nothing can be said while nobody reads').to.deep.equal([]);
@@ -75,7 +75,7 @@
     const buffer = bufferOf(100_000);
     const line = `${'x'.repeat(1_500)}\n`;
     for (let count = 0; count < 5; count++) buffer.write(line, false);
-    await time.advance(GATHERED_MS);
+    await time.advance(AFTER_FLUSH_MS);
     sink.read();
     await time.advance(1);
     sink.read();
@@ -87,10 +87,10 @@
   it('counts what nobody took, and goes on', async () => {
     const buffer = bufferOf(1_000);
     buffer.write('one\n', false);
-    await time.advance(GATHERED_MS);
+    await time.advance(AFTER_FLUSH_MS);
     sink.close();
     buffer.write('two\n', true);
-    await time.advance(GATHERED_MS);
+    await time.advance(AFTER_FLUSH_MS);
     expect(sink.texts).to.deep.equal(['one\n', 'two\n']);
     expect(buffer.dropped).to.deep.equal({ routine: 0, important: 1 });
   });
--- a/src/test/logs/memory_log.ts
+++ b/src/test/logs/memory_log.ts
@@ -1,24 +1,24 @@
 /** Keeps what is recorded, for tests. */
-import { type Level, Log, type Recorded } from '../../logs/log.js';
+import { type Level, Log, type LogEvent } from '../../logs/log.js';
 
 export class MemoryLog extends Log {
   readonly dropped = { routine: 0, important: 0 };
 
-  readonly lines: { level: Level; event: Recorded; at: number }[] = [];
+  readonly lines: { level: Level; event: LogEvent; at: number }[] = [];
 
-  constructor(private readonly least: Level = 'debug') {
+  constructor(private readonly minLevel: Level = 'debug') {
     super();
   }
 
-  get events(): Recorded[] {
+  get events(): LogEvent[] {
     return this.lines.map(({ event }) => event);
   }
 
-  writes(level: Level): boolean {
-    return this.least === 'debug' || level === this.least;
+  isEnabled(level: Level): boolean {
+    return this.minLevel === 'debug' || level === this.minLevel;
   }
 
-  record(level: Level, event: Recorded, at = 0): void {
+  record(level: Level, event: LogEvent, at = 0): void {
     this.lines.push({ level, event, at });
   }
 
--- a/src/test/logs/request_log_test.ts
+++ b/src/test/logs/request_log_test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { OutcomeError } from '../../contracts.js';
 import { type Log } from '../../logs/log.js';
-import { type Ending, RequestLog } from '../../logs/request_log.js';
+import { type RequestEnd, RequestLog } from '../../logs/request_log.js';
 import { FakeTime } from '../fake_time.js';
 import { MemoryLog } from './memory_log.js';
 
@@ -10,7 +10,7 @@
 
 describe('RequestLog', () => {
   let time: FakeTime;
-  let ended: Ending[];
+  let ended: RequestEnd[];
 
   beforeEach(() => {
     time = new FakeTime();
--- a/src/test/logs/tally_test.ts
+++ b/src/test/logs/tally_test.ts
@@ -1,10 +1,16 @@
 import { expect } from 'chai';
-import { type Ending } from '../../logs/request_log.js';
+import { type RequestEnd } from '../../logs/request_log.js';
 import { Tally } from '../../logs/tally.js';
 import { FakeTime } from '../fake_time.js';
 import { MemoryLog } from './memory_log.js';
 
-const SERVED: Ending = { verdict: 'ran', reason: 'none', status: 200, tookMs: 9, route: 'menus' };
+const SERVED: RequestEnd = {
+  verdict: 'ran',
+  reason: 'none',
+  status: 200,
+  tookMs: 9,
+  route: 'menus',
+};
 
 describe('Tally', () => {
   let time: FakeTime;
--- a/src/test/ships_test.ts
+++ b/src/test/ships_test.ts
@@ -14,7 +14,7 @@
 const IN_FORCE = /opening-night +submit +dana .* 1 +0 +0$/m;
 
 /** Commands that the operators' page shows, at least. */
-const LEAST_STEPS = 9;
+const MIN_STEPS = 9;
 
 /** Ports that a program prints when it listens. */
 type Ports = Readonly<Record<string, number>>;
@@ -118,7 +118,7 @@
       seen.push({ program, args, code: ended.code, first: firstLine(ended.text) });
     }
     const written = steps.map((step) => ({ ...step, first: firstLine(step.first) }));
-    expect(steps.length).to.be.at.least(LEAST_STEPS);
+    expect(steps.length).to.be.at.least(MIN_STEPS);
     expect(seen).to.deep.equal(written);
   });
 });
