--- a/src/logs/events.ts
+++ b/src/logs/events.ts
@@ -1,11 +1,11 @@
 /**
- * All lines that a process may write, one schema each. A field has the same name and unit in every
- * line: times are in milliseconds, instants in milliseconds since the epoch.
+ * Schemas of all log lines that a process may write. A field has the same name and unit in every
+ * line: durations are in milliseconds, timestamps in milliseconds since the epoch.
  */
 import * as z from 'zod';
 import { RolloutPhase, Verdict } from '../contracts.js';
 
-/** Work at an upstream instance, as it was known when a decision was made. */
+/** Load of an upstream instance, as known when a decision was made. */
 const LoadFields = {
   inFlight: z.number(),
   slots: z.number(),
@@ -22,13 +22,13 @@
   status: z.number().optional(),
   tookMs: z.number(),
   retryAfterMs: z.number().optional(),
-  /** Whether it ended after the instant until which an answer is of full use. */
+  /** Whether it ended after its target time; see `targetMs`. */
   isLate: z.boolean().optional(),
-  /** Whether its caller had been turned away before. */
+  /** Whether it is a retry by a caller that was refused before. */
   isReturn: z.boolean().optional(),
-  /** Length of the answer's body. */
+  /** Length of the response body. */
   bytes: z.number().optional(),
-  /** From the head of the answer to its end: long where the answer could not get away. */
+  /** Time from the head of the response to its end: long if the network or the client is slow. */
   relayMs: z.number().optional(),
 };
 
@@ -40,27 +40,27 @@
     path: z.string(),
     route: z.string(),
     upstream: z.string(),
-    /** Version of the configuration that it keeps to. */
+    /** Version of the configuration that is used for this request throughout. */
     version: z.number(),
-    /** Until the caller gives up. */
+    /** Time until the caller's deadline. */
     leftMs: z.number(),
-    /** Until an answer is of less use. */
+    /** Time until the target, after which a response is of less use to the caller. */
     targetMs: z.number(),
-    /** Since the caller's first attempt, if it was turned away here before. */
+    /** Time since the caller's first attempt, if that was refused here. */
     waitedMs: z.number().optional(),
     isRepeatable: z.boolean(),
   }),
   z.object({
     event: z.literal('sent'),
     exchange: z.string(),
-    /** Name of the process beside the chosen upstream instance. */
+    /** Name of the process that serves the chosen upstream instance. */
     endpoint: z.string(),
     dataCentre: z.string(),
     attempt: z.number(),
-    /** By which endpoints are compared: the time that one more request is expected to take. */
+    /** Expected time of one more request, by which endpoints are compared. */
     costMs: z.number(),
     ...LoadFields,
-    /** How old the load is that the endpoint reported; absent before its first report. */
+    /** Age of the load that the endpoint reported last; absent before its first report. */
     loadAgeMs: z.number().optional(),
   }),
   z.object({
@@ -75,15 +75,15 @@
   z.object({
     event: z.literal('resent'),
     endpoint: z.string(),
-    /** Whether nothing had reached an upstream instance, so that no budget is spent. */
+    /** Whether no upstream instance got the request, so that no retry budget is spent. */
     isFailover: z.boolean(),
     startMs: z.number(),
   }),
   z.object({
     event: z.literal('not-resent'),
-    /** Why no other endpoint is asked. */
+    /** Why the request is not sent to another endpoint. */
     denial: z.string(),
-    /** Retries that the budget would still allow. */
+    /** Retries left in the budget. */
     tokens: z.number(),
   }),
   z.object({
@@ -97,14 +97,14 @@
     event: z.literal('guard-ended'),
     exchange: z.string(),
     ...LoadFields,
-    /** Until all heavy answers that are promised have left by the link. */
+    /** Time until all large responses that are scheduled have been sent over the network link. */
     leavingMs: z.number().optional(),
     ...EndFields,
   }),
 ]);
 export type RequestEvent = z.infer<typeof RequestEvent>;
 
-/** Changes of what a process is, or believes. */
+/** Changes in the state of a process, or in its view of the fleet. */
 export const ProcessEvent = z.discriminatedUnion('event', [
   z.object({
     event: z.literal('started'),
@@ -113,14 +113,14 @@
     incarnation: z.number(),
   }),
   z.object({
-    /** It starts slower, from its source: no code compiled ahead could be used. */
+    /** No precompiled code could be used, so the process starts more slowly from its source. */
     event: z.literal('uncompiled'),
     reason: z.string(),
   }),
   z.object({ event: z.literal('stopping') }),
   z.object({ event: z.literal('stopped'), inFlight: z.number() }),
   z.object({
-    /** By a fault of its own; nothing comes after it. */
+    /** Ended by an uncaught exception; always the last line. */
     event: z.literal('ended'),
     origin: z.string(),
     message: z.string(),
@@ -134,25 +134,25 @@
     version: z.number(),
     digest: z.string(),
     resources: z.number(),
-    /** How it came here. */
+    /** How this process got the version. */
     origin: z.enum(['source', 'push', 'pull', 'difference', 'pages']),
   }),
   z.object({
-    /** A peer that is ahead served what is no newer than what is held here. */
+    /** A peer that announced a later version served one no newer than that held here. */
     event: z.literal('served-older'),
     held: z.number(),
     served: z.number(),
   }),
   z.object({
-    /** The process stood still, or had more to do than time: it woke up so much too late. */
+    /** The process was paused or overloaded: a timer fired this much too late. */
     event: z.literal('late'),
     lateMs: z.number(),
   }),
   z.object({
-    /** An upstream instance has said that it leaves. */
+    /** An upstream instance announced that it drains. */
     event: z.literal('drain-announced'),
     id: z.string(),
-    /** Whether it is the one beside this process, which drains from now on. */
+    /** Whether it is the local one, which drains from now on. */
     isBeside: z.boolean(),
   }),
   z.object({
@@ -188,25 +188,25 @@
     upstream: z.string(),
     version: z.string(),
     phase: RolloutPhase,
-    /** How long the operator gives it. */
+    /** Time that the operator allows for the roll-out. */
     durationMs: z.number(),
   }),
   z.object({
-    /** The platform answered with something that holds no orders of roll-outs. */
+    /** The response of the platform could not be parsed as roll-out orders. */
     event: z.literal('orders-unread'),
     message: z.string(),
   }),
   z.object({
-    /** The verdict of this process, and what it goes by. */
+    /** Verdict of this process on a roll-out, with the evidence for it. */
     event: z.literal('rollout-judged'),
     upstream: z.string(),
     version: z.string(),
     phase: RolloutPhase,
     reason: z.string(),
-    /** Of the version on trial. */
+    /** Responses of the version on trial. */
     answered: z.number(),
     failed: z.number(),
-    /** From 0 to 1, where it is withdrawn. */
+    /** As a share of the suspicion at which the version is rolled back: 0 to 1. */
     suspicion: z.number(),
   }),
   z.object({
@@ -223,36 +223,36 @@
     event: z.literal('tally'),
     route: z.string(),
     upstream: z.string(),
-    /** Requests of the second that ended at the entry: the sum of the four ends below. */
+    /** Requests that ended at the entry: `inTime`, `late`, `refused` and `failed` together. */
     asked: z.number(),
-    /** Those of them whose caller had been turned away before. */
+    /** How many of them are retries by callers that were refused before. */
     returned: z.number(),
     inTime: z.number(),
     late: z.number(),
-    /** Proven not to have run. */
+    /** Known not to have run. */
     refused: z.number(),
     failed: z.number(),
-    /** Bytes of the answers' bodies. */
+    /** Bytes of response bodies. */
     bytes: z.number().optional(),
-    /** Why they were refused or failed. */
+    /** Refused and failed requests by reason. */
     reasons: z.record(z.string(), z.number()),
   }),
   z.object({
     event: z.literal('lines-dropped'),
-    /** Lines of requests that were served. */
+    /** Lines about served requests. */
     routine: z.number(),
-    /** All others. */
+    /** All other lines. */
     important: z.number(),
   }),
 ]);
 export type ProcessEvent = z.infer<typeof ProcessEvent>;
 
-/** What stands in every line besides. */
+/** Fields that all lines have. */
 export const CommonFields = z.object({
   level: z.string(),
   at: z.number(),
   instance: z.string(),
-  /** The caller's name for the request, in lines about one. */
+  /** Request id that the caller set, in lines about a request. */
   id: z.string().optional(),
 });
 
--- a/src/logs/line_buffer.ts
+++ b/src/logs/line_buffer.ts
@@ -1,22 +1,22 @@
-/** Lines on their way out, bounded, so that a reader who stops reading holds nothing up. */
+/** Bounded buffer of log lines, so that a stalled reader does not block the process. */
 import { type Clock } from '../runtime/clock.js';
 import { type Sink } from './sink.js';
 
-/** Lines that may wait for the reader, in bytes: some seconds of a process under load. */
+/** Capacity of the buffer, in bytes: some seconds of lines of a process under load. */
 const CAPACITY_BYTES = 256 * 1024;
-/** Share of it that routine lines may fill: failures during a standstill must still find room. */
+/** Share that routine lines may fill: lines about failures must still fit while the reader stalls. */
 const ROUTINE_SHARE = 0.5;
-/** Lines are written together: each write costs a system call and a wake-up. In milliseconds. */
+/** Delay in which lines are batched, in milliseconds: each write costs a system call and a wake-up. */
 const FLUSH_DELAY_MS = 200;
 /**
- * Most bytes of one write. A pipe takes so many in one piece (POSIX's `PIPE_BUF` on Linux); of
- * more, parts could land in the middle of what another process writes to the same collector.
+ * Most bytes of one write: `PIPE_BUF` on Linux, up to which POSIX guarantees that a write to a pipe
+ * is atomic. A larger one could be interleaved with lines of another process on the same pipe.
  */
 const MAX_WRITE_BYTES = 4_096;
-/** How often an end is looked for at a stop, in milliseconds. */
+/** Interval at which `drain` checks for the end of a write, in milliseconds. */
 const POLL_INTERVAL_MS = 10;
 
-/** Lines that found no room. */
+/** Numbers of lines that were dropped. */
 export interface DroppedLines {
   readonly routine: number;
   readonly important: number;
@@ -29,11 +29,12 @@
 
   #bytes = 0;
 
-  /** Bytes that the sink has in hand. */
+  /** Length of the write in progress; 0 if there is none. */
   #bytesInWrite = 0;
 
   #timer: NodeJS.Timeout | undefined;
 
+  /** Dropped since `onDropped` was last called. */
   #unreported = NONE;
 
   #dropped = NONE;
@@ -41,8 +42,8 @@
   constructor(
     private readonly sink: Sink,
     private readonly clock: Clock,
-    /** Called after lines were dropped, once there is room to say so. */
-    private readonly onDropped: (unsaid: DroppedLines) => void = () => {},
+    /** Called after lines were dropped, once there is room to log that. */
+    private readonly onDropped: (unreported: DroppedLines) => void = () => {},
     private readonly capacity: number = CAPACITY_BYTES,
   ) {}
 
@@ -51,7 +52,7 @@
     return this.#dropped;
   }
 
-  /** Takes a line, its end included; drops it when there is no room. */
+  /** Buffers a line, which includes its line break; drops it if there is no room. */
   write(line: string, isRoutine: boolean): void {
     const room = isRoutine ? this.capacity * ROUTINE_SHARE : this.capacity;
     if (this.#bytes + this.#bytesInWrite + line.length > room) {
@@ -64,7 +65,7 @@
     if (this.#bytesInWrite === 0) this.#schedule();
   }
 
-  /** Resolves when everything is written, or at the deadline (milliseconds since the epoch). */
+  /** Resolves when all lines are written, or at the deadline (milliseconds since the epoch). */
   async drain(deadline: number): Promise<void> {
     clearTimeout(this.#timer);
     this.#timer = undefined;
@@ -93,7 +94,7 @@
     );
   }
 
-  /** Nobody reads any more, or the descriptor is closed: there is nowhere to say more than that. */
+  /** The pipe or descriptor is closed; the lines can only be counted as dropped. */
   #writeFailed(count: number): void {
     const { routine, important } = this.#dropped;
     this.#dropped = { routine, important: important + count };
@@ -102,13 +103,13 @@
 
   #writeEnded(): void {
     this.#bytesInWrite = 0;
-    const unsaid = this.#unreported;
+    const unreported = this.#unreported;
     this.#unreported = NONE;
-    if (unsaid !== NONE) this.onDropped(unsaid);
+    if (unreported !== NONE) this.onDropped(unreported);
     this.#flush();
   }
 
-  /** Whole lines, as many as go into one write. */
+  /** Removes as many whole lines as fit into one write. */
   #takeBatch(): string[] {
     let size = 0;
     let count = 0;
--- a/src/logs/log.ts
+++ b/src/logs/log.ts
@@ -1,4 +1,4 @@
-/** Structured logs: one JSON object a line. */
+/** Structured logs: one JSON object per line. */
 import { pino } from 'pino';
 import { type Clock } from '../runtime/clock.js';
 import { type ProcessEvent, type RequestEvent } from './events.js';
@@ -6,19 +6,18 @@
 import { type Sink } from './sink.js';
 
 /**
- * - `debug`: decisions about requests that were served; the first to be left out.
- * - `info`: changes of what the process is or believes.
- * - `warn`: decisions about requests that were not served, and what was lost.
+ * - `debug`: decisions about served requests; the first to be dropped.
+ * - `info`: changes in the state of the process, or in its view of the fleet.
+ * - `warn`: decisions about requests that were not served, lost dependencies and faults.
  */
 export type Level = 'debug' | 'info' | 'warn';
 
-/** What a process writes; `silent` writes nothing. */
+/** Lowest level that is written; `silent` writes nothing. */
 export type MinLevel = Level | 'silent';
 
-/** Order of the levels. */
 const LEVEL_ORDER: Readonly<Record<MinLevel, number>> = { debug: 0, info: 1, warn: 2, silent: 3 };
 
-/** A line about a request, or about the process. */
+/** Event of a log line, about a request or about the process. */
 export type LogEvent = ProcessEvent | (RequestEvent & { readonly id: string });
 
 export abstract class Log {
@@ -27,14 +26,14 @@
   /** Whether lines of that level are written. */
   abstract isEnabled(level: Level): boolean;
 
-  /** Writes a line. `at` is when it happened, in milliseconds since the epoch; now when absent. */
+  /** Writes a line. `at` is the time of the event, in milliseconds since the epoch; now if absent. */
   abstract record(level: Level, event: LogEvent, at?: number): void;
 
-  /** Resolves when all is written, or at the deadline (milliseconds since the epoch). */
+  /** Resolves when all lines are written, or at the deadline (milliseconds since the epoch). */
   abstract drain(deadline: number): Promise<void>;
 }
 
-/** Writes nothing. */
+/** Discards all lines. */
 export class SilentLog extends Log {
   readonly dropped: DroppedLines = { routine: 0, important: 0 };
 
@@ -50,6 +49,8 @@
 }
 
 /**
+ * Writes lines to a sink through a bounded buffer.
+ *
  * @example
  * ```ts
  * const log = new LineLog('arima-1', 'info', standardOutput(), clock);
@@ -68,12 +69,12 @@
     private readonly clock: Clock,
   ) {
     super();
-    const sayDropped = (unsaid: DroppedLines) => {
-      this.record('warn', { event: 'lines-dropped', ...unsaid });
+    const reportDropped = (unreported: DroppedLines) => {
+      this.record('warn', { event: 'lines-dropped', ...unreported });
     };
-    this.#buffer = new LineBuffer(sink, clock, sayDropped);
+    this.#buffer = new LineBuffer(sink, clock, reportDropped);
     const target = {
-      // Pino tells the level of each line to a target that has this mark.
+      // Pino sets `lastLevel` before each line on targets with this property.
       [Symbol.for('pino.metadata')]: true,
       lastLevel: 0,
       write: (line: string) =>
--- a/src/logs/request_log.ts
+++ b/src/logs/request_log.ts
@@ -1,4 +1,4 @@
-/** Gathers the decisions about each request until it is known how it ended. */
+/** Buffers the decisions about each request until its outcome is known. */
 import { type ServerResponse } from 'node:http';
 import { type OutcomeError } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
@@ -7,15 +7,15 @@
 import { type RequestEvent } from './events.js';
 import { type Level, type Log, SilentLog } from './log.js';
 
-/** Decisions kept for one request; those of the last attempts say how it ended. */
+/** Decisions kept per request: the first and the latest, which explain the outcome. */
 const MAX_DECISIONS = 24;
-/** One of so many served requests is written, the same at all hops; of those not served all are. */
+/** One in this many served requests is sampled, the same ones at all hops; failures are not sampled. */
 const SERVED_SAMPLE_INTERVAL = 16;
-/** Served requests of which a process writes lines at most, in a second. */
+/** Most served requests that are logged per second. */
 const SERVED_PER_SECOND = 20;
-/** Refused requests of which it writes all decisions, in a second. */
+/** Most requests that were not served and are logged with all decisions, per second. */
 const REFUSED_PER_SECOND = 20;
-/** Refused requests beyond those of which it writes the end, in a second: storms come cheap. */
+/** Most further ones that are logged with their end only, per second: bursts must stay cheap. */
 const REFUSED_ENDS_PER_SECOND = 200;
 
 type EndEvent = Extract<RequestEvent, { readonly event: 'entry-ended' | 'guard-ended' }>;
@@ -35,10 +35,10 @@
 >;
 
 type Routed = Extract<RequestEvent, { readonly event: 'routed' }>;
-/** The answer that the caller got. */
+/** Response that was sent to the caller. */
 type SentResponse = Pick<ServerResponse, 'statusCode'>;
 
-/** What only the hop beside an upstream instance knows. */
+/** State that only the guard knows. */
 export interface GuardState {
   readonly exchange: string;
   readonly inFlight: number;
@@ -47,7 +47,7 @@
   readonly leavingMs: number;
 }
 
-/** How the body of an answer was passed on. */
+/** Size and duration of the relay of a response body. */
 export type Relayed = Required<Pick<EndEvent, 'bytes' | 'relayMs'>>;
 
 export interface Destination {
@@ -64,13 +64,13 @@
 
   readonly #refusedEnds: TokenBucket;
 
-  /** Requests whose lines were left out since the start, by the bounds above. */
+  /** Requests since the start that were not logged because of sampling or the rate limits. */
   leftOut = 0;
 
   constructor(
     private readonly log: Log,
     private readonly clock: Clock,
-    /** Called with the end of each request, whether or not lines of it are written. */
+    /** Called with the end of each request, whether it is logged or not. */
     private readonly onEnded: (ended: RequestEnd) => void = () => {},
   ) {
     this.#served = new TokenBucket(clock, SERVED_PER_SECOND, SERVED_PER_SECOND);
@@ -78,12 +78,12 @@
     this.#refusedEnds = new TokenBucket(clock, REFUSED_ENDS_PER_SECOND, REFUSED_ENDS_PER_SECOND);
   }
 
-  /** Begins with the request that its caller calls `id`. */
+  /** Begins the trace of a request; `id` is the one that its caller set. */
   begin(id: string): Trace {
     return new Trace(id, this.clock, this.log.isEnabled('warn') ? this : undefined, this.onEnded);
   }
 
-  /** Writes the decisions about a request that has ended. */
+  /** Writes the decisions about a request that has ended, within the sampling and rate limits. */
   write(id: string, decisions: readonly Decision[], ended: EndEvent): void {
     const level = levelOf(ended);
     if (!this.log.isEnabled(level)) return;
@@ -110,10 +110,10 @@
 
   readonly startedAt: number;
 
-  /** What it is about, as far as that is known. */
+  /** Route and upstream of the request, as far as they are known. */
   about: Destination = {};
 
-  /** Until when an answer is of full use, in milliseconds since the epoch. */
+  /** Time after which a response is of less use, in milliseconds since the epoch. */
   #targetAt = Infinity;
 
   #isReturn = false;
@@ -129,7 +129,7 @@
     this.startedAt = clock.now();
   }
 
-  /** Keeps a decision. It is written when the request has ended: whether it matters shows then. */
+  /** Adds a decision. It is written after the end of the request, if that is logged. */
   note(event: RequestEvent): void {
     if (!this.log) return;
     if (this.#decisions.length >= MAX_DECISIONS) this.#decisions.splice(1, 1);
@@ -143,33 +143,33 @@
     this.note(routed);
   }
 
-  /** Notes that the body of the answer has been passed on whole. */
+  /** Adds that the response body has been relayed completely. */
   relayed(bytes: number, relayMs: number): void {
     this.#relayed = { bytes, relayMs: Math.round(relayMs) };
   }
 
-  /** Ends it with the answer of an upstream instance. */
+  /** Ends the trace with the response of an upstream instance. */
   answered(event: 'entry-ended', response: SentResponse): void;
-  answered(event: 'guard-ended', response: SentResponse, hop: GuardState): void;
-  answered(event: EndEvent['event'], { statusCode }: SentResponse, hop?: GuardState): void {
-    this.#end({ event, verdict: 'ran', reason: 'none', status: statusCode, ...hop });
+  answered(event: 'guard-ended', response: SentResponse, state: GuardState): void;
+  answered(event: EndEvent['event'], { statusCode }: SentResponse, state?: GuardState): void {
+    this.#end({ event, verdict: 'ran', reason: 'none', status: statusCode, ...state });
   }
 
-  /** Ends it with a refusal, or with an answer that was cut. */
+  /** Ends the trace with a refusal, or with a response that was cut. */
   failed(event: 'entry-ended', response: SentResponse, outcome: OutcomeError, isCut: boolean): void;
   failed(
     event: 'guard-ended',
     response: SentResponse,
     outcome: OutcomeError,
     isCut: boolean,
-    hop: GuardState,
+    state: GuardState,
   ): void;
   failed(
     event: EndEvent['event'],
     { statusCode }: SentResponse,
     outcome: OutcomeError,
     isCut: boolean,
-    hop?: GuardState,
+    state?: GuardState,
   ): void {
     const { reason, message, retryAt } = outcome;
     const now = this.clock.now();
@@ -180,7 +180,7 @@
       message,
       status: statusCode,
       ...(retryAt !== undefined && { retryAfterMs: Math.max(0, Math.round(retryAt - now)) }),
-      ...hop,
+      ...state,
     });
   }
 
@@ -202,15 +202,15 @@
 }
 
 /**
- * By the id, so that the lines of a request that was carried over several hops are there whole or not at
- * all. Lines of every one would take processor time that the next request lacks.
+ * Samples by a hash of the id, so that a request is logged at all of its hops or at none. Logging
+ * every served request would take processor time away from the requests themselves.
  */
 function isSampled(id: string): boolean {
   const hash = fnv1a(id);
   return ((hash ^ (hash >>> 16)) >>> 0) % SERVED_SAMPLE_INTERVAL === 0;
 }
 
-/** Keeps nothing, for processes that write no lines. */
+/** A request log that writes nothing. */
 export function silentRequests(clock: Clock): RequestLog {
   return new RequestLog(new SilentLog(), clock);
 }
@@ -219,7 +219,7 @@
   return isServed(ended) ? 'debug' : 'warn';
 }
 
-/** Whether the caller got a whole answer that is no failure of the upstream instance. */
+/** Whether the caller got a complete response that is not a 5xx of the upstream instance. */
 export function isServed({ verdict, status = 0 }: Pick<RequestEnd, 'verdict' | 'status'>): boolean {
   return verdict === 'ran' && status < SERVER_ERROR;
 }
--- a/src/logs/sink.ts
+++ b/src/logs/sink.ts
@@ -1,17 +1,17 @@
-/** Where lines go. */
+/** Destinations of log lines. */
 import { write } from 'node:fs';
 import { Socket } from 'node:net';
 
 export abstract class Sink {
-  /** Resolves when the text is handed over; rejects if it cannot be. Never blocks. */
+  /** Resolves when the text is written; rejects if that fails. Never blocks the event loop. */
   abstract write(text: string): Promise<void>;
 }
 
 /**
- * A pipe or a socket. Node writes to a pipe on its own standard output synchronously, so a reader
- * who stops reading would stop the process. A write by Node's pool of threads would not, but its
- * thread would keep the process from ending until the reader goes on. Here the system says when
- * there is room again, and nobody waits.
+ * Writes to a pipe or socket without blocking. `process.stdout` writes to pipes synchronously, so a
+ * stalled reader would block the process. `fs.write` would block a thread of libuv's pool instead,
+ * which keeps the process from exiting until the reader continues. A socket waits for the
+ * descriptor to become writable.
  */
 export class PipeSink extends Sink {
   readonly #socket: Socket;
@@ -20,7 +20,7 @@
   constructor(descriptor: number) {
     super();
     this.#socket = new Socket({ fd: descriptor, readable: false, writable: true });
-    // Each write tells of its own failure.
+    // Errors are reported by the callback of each write.
     this.#socket.on('error', () => {});
     this.#socket.unref();
   }
@@ -32,7 +32,7 @@
   }
 }
 
-/** A file, which takes all at once, or a terminal. */
+/** Writes to a file or terminal. */
 export class FileSink extends Sink {
   constructor(private readonly descriptor: number) {
     super();
@@ -45,12 +45,12 @@
   }
 }
 
-/** The sink that fits what a descriptor is. */
+/** Creates the sink for the type of a descriptor. */
 export function sinkOf(descriptor: number): Sink {
   try {
     return new PipeSink(descriptor);
   } catch {
-    // Sockets cannot be made of files.
+    // Node creates sockets only from pipes and sockets.
     return new FileSink(descriptor);
   }
 }
--- a/src/logs/tally.ts
+++ b/src/logs/tally.ts
@@ -1,4 +1,4 @@
-/** Counts what became of callers' requests, a line for each second and route. */
+/** Counts the outcomes of requests, with one log line per second and route. */
 import { type Clock } from '../runtime/clock.js';
 import { type ProcessEvent } from './events.js';
 import { type Log } from './log.js';
@@ -8,16 +8,16 @@
 type Counts = { -readonly [Field in keyof Line]: Line[Field] };
 
 const WINDOW_MS = 1_000;
-/** Lines in a second; a scan over thousands of routes would else fill the log. */
+/** Routes counted separately per second; a scan over thousands would otherwise fill the log. */
 const MAX_ROUTES = 50;
-/** What stands for the routes beyond that. */
+/** Route and upstream of requests beyond `MAX_ROUTES`. */
 const OTHER = 'other';
 const NONE = 'none';
 
 /**
- * Of single requests only a sample is written, so the lines of requests do not add up. These do:
- * each request that ended at the entry is in one of them. A second without requests has none, and
- * the counts of a second are written when the next request ends after it.
+ * Lines about single requests are sampled, so they cannot be summed up. These can: each request
+ * that ended at the entry is counted in one. A second without requests has no line, and the counts
+ * of a second are written when the first request after it ends.
  */
 export class Tally {
   #startedAt = 0;
@@ -46,18 +46,18 @@
     counts.reasons[reason] = (counts.reasons[reason] ?? 0) + 1;
   }
 
-  /** Writes what has been counted so far. */
+  /** Writes the counts so far and resets them. */
   flush(): void {
     for (const counts of this.#routes.values()) this.log.record('info', counts, this.#startedAt);
     this.#routes.clear();
   }
 
   #countsOf({ route = NONE, upstream = NONE }: RequestEnd): Counts {
-    const isBeyond = this.#routes.size >= MAX_ROUTES && !this.#routes.has(route);
-    const name = isBeyond ? OTHER : route;
+    const isOverflow = this.#routes.size >= MAX_ROUTES && !this.#routes.has(route);
+    const name = isOverflow ? OTHER : route;
     let counts = this.#routes.get(name);
     if (!counts) {
-      counts = emptyCounts(name, isBeyond ? OTHER : upstream);
+      counts = emptyCounts(name, isOverflow ? OTHER : upstream);
       this.#routes.set(name, counts);
     }
     return counts;
--- a/src/test/logs/line_buffer_test.ts
+++ b/src/test/logs/line_buffer_test.ts
@@ -5,46 +5,46 @@
 
 const AFTER_FLUSH_MS = 250;
 
-/** A reader that reads when it is told to. */
+/** A sink whose writes end when the test calls `read` or `close`. */
 class ManualSink extends Sink {
   readonly texts: string[] = [];
 
-  readonly #waiting: { read: () => void; close: (error: Error) => void }[] = [];
+  readonly #pending: { read: () => void; close: (error: Error) => void }[] = [];
 
   write(text: string): Promise<void> {
     this.texts.push(text);
     return new Promise((resolve, reject) => {
-      this.#waiting.push({ read: resolve, close: reject });
+      this.#pending.push({ read: resolve, close: reject });
     });
   }
 
   read(): void {
-    this.#waiting.shift()?.read();
+    this.#pending.shift()?.read();
   }
 
   close(): void {
-    this.#waiting.shift()?.close(new Error('EPIPE'));
+    this.#pending.shift()?.close(new Error('EPIPE'));
   }
 }
 
 describe('LineBuffer', () => {
   let time: FakeTime;
   let sink: ManualSink;
-  let unsaid: DroppedLines[];
+  let reported: DroppedLines[];
 
   beforeEach(() => {
     time = new FakeTime();
     sink = new ManualSink();
-    unsaid = [];
+    reported = [];
   });
 
   afterEach(() => time[Symbol.dispose]());
 
   function bufferOf(capacity: number): LineBuffer {
-    return new LineBuffer(sink, time.clock, (dropped) => unsaid.push(dropped), capacity);
+    return new LineBuffer(sink, time.clock, (dropped) => reported.push(dropped), capacity);
   }
 
-  it('writes lines together, after a moment', async () => {
+  it('writes buffered lines in one write after a delay', async () => {
     const buffer = bufferOf(1_000);
     buffer.write('one\n', false);
     buffer.write('two\n', true);
@@ -53,9 +53,9 @@
     expect(sink.texts).to.deep.equal(['one\ntwo\n']);
   });
 
-  // Somebody looks for the cause of a failure while the collector stands still. Lines of requests
-  // that were served fill the room first; the one that tells of the failure must still go in.
-  it('keeps failures in preference to successes when the reader stops reading', async () => {
+  // Guards against losing the lines about failures while the log collector stalls: the far more
+  // frequent lines about served requests would fill the buffer first.
+  it('keeps lines about failures rather than successes while the reader stalls', async () => {
     const buffer = bufferOf(20);
     for (const line of ['ok 1\n', 'ok 2\n', 'ok 3\n', 'ok 4\n']) buffer.write(line, true);
     buffer.write('fail 1\n', false);
@@ -63,15 +63,15 @@
     await time.advance(AFTER_FLUSH_MS);
     expect(sink.texts).to.deep.equal(['ok 1\nok 2\nfail 1\n']);
     expect(buffer.dropped).to.deep.equal({ routine: 2, important: 1 });
-    expect(unsaid, 'nothing can be said while nobody reads').to.deep.equal([]);
+    expect(reported, 'nothing can be reported while the reader stalls').to.deep.equal([]);
     sink.read();
     await time.advance(1);
-    expect(unsaid).to.deep.equal([{ routine: 2, important: 1 }]);
+    expect(reported).to.deep.equal([{ routine: 2, important: 1 }]);
   });
 
-  // Two processes write to one pipe. Of a write above its atomic size, a part would land inside a
-  // line of the other process, and neither line could be read any more.
-  it('writes whole lines, and no more at a time than a pipe takes in one piece', async () => {
+  // Guards against interleaved lines when two processes write to one pipe: writes above `PIPE_BUF`
+  // are not atomic, and neither line could be parsed.
+  it('writes whole lines, and no more at a time than a pipe writes atomically', async () => {
     const buffer = bufferOf(100_000);
     const line = `${'x'.repeat(1_500)}\n`;
     for (let count = 0; count < 5; count++) buffer.write(line, false);
@@ -83,8 +83,8 @@
     expect(sink.texts.map((text) => text.length)).to.deep.equal([3_002, 3_002, 1_501]);
   });
 
-  // The collector is gone for good. The process must neither stop nor gather lines for ever.
-  it('counts what nobody took, and goes on', async () => {
+  // Guards against a process that crashes, or buffers lines forever, once its collector is gone.
+  it('counts lines of a failed write as dropped, and continues', async () => {
     const buffer = bufferOf(1_000);
     buffer.write('one\n', false);
     await time.advance(AFTER_FLUSH_MS);
@@ -95,8 +95,8 @@
     expect(buffer.dropped).to.deep.equal({ routine: 0, important: 1 });
   });
 
-  // A process stops while the collector stands still: its end must not wait for that.
-  it('waits for the reader until the deadline of a stop only', async () => {
+  // Guards against a stop that hangs because the collector stalls.
+  it('drains until the deadline at most while the reader stalls', async () => {
     const buffer = bufferOf(1_000);
     buffer.write('last\n', false);
     let isDrained = false;
--- a/src/test/logs/memory_log.ts
+++ b/src/test/logs/memory_log.ts
@@ -1,4 +1,4 @@
-/** Keeps what is recorded, for tests. */
+/** Keeps all recorded events in memory, for tests. */
 import { type Level, Log, type LogEvent } from '../../logs/log.js';
 
 export class MemoryLog extends Log {
--- a/src/test/logs/request_log_test.ts
+++ b/src/test/logs/request_log_test.ts
@@ -23,7 +23,7 @@
     return new RequestLog(log, time.clock, (ending) => ended.push(ending));
   }
 
-  it('writes the decisions at the instants when they were made, once the end is known', async () => {
+  it('writes the decisions with their original timestamps once the request has ended', async () => {
     const log = new MemoryLog('debug');
     const startedAt = time.clock.now();
     const trace = logOf(log).begin('r-1');
@@ -35,9 +35,9 @@
     expect(log.lines.map((line) => ({ ...line, at: line.at - startedAt }))).toMatchSnapshot();
   });
 
-  // Thousands are served in a second and one is not. Lines of served ones are a sample; the one
-  // that failed must be there whole, with what was decided about it before it was known to fail.
-  it('bounds the lines of served requests and not with them those of a failed one', () => {
+  // Guards against losing the lines of a failed request among thousands of served ones per second:
+  // it must be logged completely, with the decisions made before it failed.
+  it('limits the lines of served requests without dropping those of a failed one', () => {
     const log = new MemoryLog('debug');
     const requests = logOf(log);
     for (let count = 0; count < 1_000; count++) {
@@ -49,10 +49,11 @@
     expect(log.lines.filter(({ level }) => level === 'debug')).to.have.length(20);
     expect(log.lines.filter(({ level }) => level === 'warn')).to.have.length(2);
     expect(requests.leftOut).to.equal(980);
-    expect(ended, 'metrics count all').to.have.length(1_001);
+    expect(ended, 'all requests are reported to the metrics').to.have.length(1_001);
   });
 
-  // Guards against lines taking the processor time of the requests that they tell of.
+  // Guards against logging that takes processor time away from requests, and against samples that
+  // show a request at one hop only.
   it('samples served requests, the same ones at each hop', async () => {
     const logs = [new MemoryLog('debug'), new MemoryLog('debug')];
     const hops = logs.map(logOf);
@@ -68,9 +69,9 @@
     expect(entry!.length).to.be.within(70, 130);
   });
 
-  // Overload refuses a thousand requests in a second, each after several attempts. Of some the
-  // whole story is written and of more how they ended, so that the lines cost less than the work.
-  it('writes a storm of refusals up to two bounds', () => {
+  // Guards against logging that costs more than the work under overload: of a thousand refusals per
+  // second some are logged with all decisions, more with their end only, and the rest not at all.
+  it('limits the lines about a burst of refusals at two levels of detail', () => {
     const log = new MemoryLog('warn');
     const requests = logOf(log);
     for (let count = 0; count < 1_000; count++) {
@@ -82,7 +83,7 @@
     expect(requests.leftOut).to.equal(780);
   });
 
-  it('keeps the first and the last decisions of a request that was sent again and again', () => {
+  it('keeps the first and the latest decisions of a request with many attempts', () => {
     const log = new MemoryLog('warn');
     const trace = logOf(log).begin('r-1');
     for (let startMs = 0; startMs < 100; startMs++) trace.note({ ...RESENT, startMs });
@@ -92,9 +93,9 @@
     expect(log.lines.at(-2)?.event).to.deep.include({ startMs: 99 });
   });
 
-  // The head of the answer had gone out when the connection broke: the caller has a part of it.
-  // "Not run" or "may have run" of the error would hide that.
-  it('calls an answer that was cut by that name', () => {
+  // Guards against logging the verdict of the error when the connection broke after the head of the
+  // response was sent: it would hide that the caller has a partial response.
+  it('logs a partial response with the verdict cut', () => {
     const log = new MemoryLog('warn');
     const trace = logOf(log).begin('r-1');
     trace.failed('entry-ended', { statusCode: 200 }, OVERLOADED, true);
--- a/src/test/logs/sink_test.ts
+++ b/src/test/logs/sink_test.ts
@@ -14,7 +14,7 @@
 describe('a sink on standard output', () => {
   let writer: string;
 
-  // As it is deployed: a loader beside it may have changed how its standard output behaves.
+  // Bundled as in a deployment: the loader of the tests may change how standard output behaves.
   before(async () => {
     writer = join(await mkdtemp(join(tmpdir(), 'writer-')), 'writer.mjs');
     const banner = "import { createRequire } from 'node:module';";
@@ -28,34 +28,34 @@
     });
   });
 
-  // The collector stands still while a process stops. A thread that waited for it would keep the
-  // process from ending until the platform kills it, in the middle of its farewell.
-  it('lets a process end although nobody reads what it has written', async () => {
-    // Node's own pipes between processes are sockets, which do not block; the shell's are pipes.
+  // Guards against a process that cannot exit while the log collector stalls: a blocked thread would
+  // keep it running until the platform kills it, before it has announced that it leaves.
+  it('lets a process exit although nobody reads its output', async () => {
+    // Node connects child processes by sockets, which do not block; the shell uses real pipes.
     const script = '{ ("$0" "$@" 2>&3; echo " ended $?" >&3) | sleep 60; } 3>&1';
     const shell = spawn('sh', ['-c', script, process.execPath, writer], {
       stdio: ['ignore', 'pipe', 'inherit'],
       detached: true,
     });
-    let said = '';
+    let output = '';
     for await (const chunk of shell.stdout) {
-      said += String(chunk);
-      if (said.includes('ended')) break;
+      output += String(chunk);
+      if (output.includes('ended')) break;
     }
     process.kill(-shell.pid!);
-    const [dropped, code] = said.trim().split(' ended ');
+    const [dropped, code] = output.trim().split(' ended ');
     expect(code).to.equal('0');
     expect((JSON.parse(dropped!) as { important: number }).important).to.be.greaterThan(0);
   });
 
-  it('hands everything to a reader who reads', async () => {
+  it('delivers all lines to a reader that keeps reading', async () => {
     const child = spawn(process.execPath, [writer], { stdio: ['ignore', 'pipe', 'ignore'] });
     const lines = (await text(child.stdout)).trimEnd().split('\n');
     expect(lines.length).to.be.greaterThan(1_000);
     expect(lines.every((line) => JSON.parse(line).instance === 'arima-1')).to.equal(true);
   });
 
-  it('writes to a file as well', async () => {
+  it('writes to a file', async () => {
     const path = join(await mkdtemp(join(tmpdir(), 'sink-')), 'log');
     const file = await open(path, 'w');
     await sinkOf(file.fd).write('one\n');
--- a/src/test/logs/tally_test.ts
+++ b/src/test/logs/tally_test.ts
@@ -25,7 +25,7 @@
 
   afterEach(() => time[Symbol.dispose]());
 
-  it('counts each end of a second once, by route', async () => {
+  it('counts each request of a second once, by route', async () => {
     tally.add({ ...SERVED, bytes: 90_000, relayMs: 150 });
     tally.add({ ...SERVED, isLate: true, isReturn: true });
     tally.add({ ...SERVED, status: 500 });
@@ -37,15 +37,15 @@
     expect(log.events).toMatchSnapshot();
   });
 
-  it('writes the last second at a stop', () => {
+  it('writes the counts of the last second on flush', () => {
     tally.add(SERVED);
     tally.flush();
     expect(log.events).to.have.length(1);
   });
 
-  // A caller tries thousands of paths in a second. Were each route a line, the lines of failures
-  // would find no room.
-  it('bounds the lines of a second and still counts everything', () => {
+  // Guards against a scan over thousands of routes that fills the log buffer, so that lines about
+  // failures are dropped.
+  it('limits the lines per second and still counts every request', () => {
     for (let route = 0; route < 1_000; route++) tally.add({ ...SERVED, route: `r-${route}` });
     tally.flush();
     expect(log.events.length).to.be.at.most(51);
