--- a/src/barleyhaven.ts
+++ b/src/barleyhaven.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The operators' tool. */
+/** Command line of the operators' tool. */
 import { main } from './tool/main.js';
 
 process.exitCode = await main(process.argv, process.env);
--- a/src/barleyhavend.ts
+++ b/src/barleyhavend.ts
@@ -1,5 +1,5 @@
 #!/usr/bin/env node
-/** The daemon's command line. */
+/** Command line of the daemon. */
 import { main } from './daemon/main.js';
 
 process.exitCode = await main(process.argv, process.env);
--- a/src/index.ts
+++ b/src/index.ts
@@ -1,4 +1,4 @@
-/** Public surface: what embeds a process, or stands in for the world around it. */
+/** Public API: starts an instance in another program, with its own or custom external services. */
 export * from './contracts.js';
 export { Instance, type InstanceDependencies as Surroundings } from './daemon/instance.js';
 export { readSettings, Settings } from './daemon/settings.js';
--- a/src/test/docs/faults_test.ts
+++ b/src/test/docs/faults_test.ts
@@ -3,20 +3,20 @@
 
 const PAGE = new URL('../../../docs/FAULTS.md', import.meta.url);
 const TESTS = new URL('../', import.meta.url);
-/** Such as `source/source_test.ts` › accepts a note once. */
-const NAMED = /`([a-z_/]+_test\.ts)` › ([^|\n;]+?)\s*(?=[;|\n])/g;
+/** Matches references such as `source/source_test.ts` › accepts a note once. */
+const TEST_REFERENCE = /`([a-z_/]+_test\.ts)` › ([^|\n;]+?)\s*(?=[;|\n])/g;
 
 describe('docs/FAULTS.md', () => {
-  // The matrix is what the insurer reads: a cell whose test was renamed or removed would promise
-  // something that nothing provokes any more. Every title that it names must stand in its file.
+  // Guards against references to tests that were renamed or removed: the page is evidence for the
+  // insurer, and would claim coverage that does not exist.
   it('names only tests that exist', async () => {
-    const named = [...(await readFile(PAGE, 'utf8')).matchAll(NAMED)];
+    const references = [...(await readFile(PAGE, 'utf8')).matchAll(TEST_REFERENCE)];
     const missing: string[] = [];
-    for (const [text, file = '', title = ''] of named) {
+    for (const [text, file = '', title = ''] of references) {
       if (!(await titlesOf(file)).has(title.trim())) missing.push(text);
     }
     expect(missing).to.deep.equal([]);
-    expect(named.length).to.be.greaterThan(0);
+    expect(references.length).to.be.greaterThan(0);
   });
 });
 
--- a/src/test/fake_time.ts
+++ b/src/test/fake_time.ts
@@ -3,7 +3,7 @@
 
 const START = Date.UTC(2026, 11, 1);
 
-/** Fake timers that run all promises to their ends between one timer and the next. */
+/** Fake timers that settle pending promises after each timer. */
 export class FakeTime implements Disposable {
   readonly clock: Clock = new TimerClock();
 
--- a/src/test/setup.ts
+++ b/src/test/setup.ts
@@ -1,4 +1,4 @@
-/** Mocha's root set-up: snapshots through chai. With CI set, a missing snapshot fails. */
+/** Mocha set-up: adds snapshot assertions to chai. If `CI` is set, a missing snapshot fails. */
 import * as chai from 'chai';
 import { jestSnapshotPlugin } from 'mocha-chai-jest-snapshot';
 
--- a/src/test/ships_test.ts
+++ b/src/test/ships_test.ts
@@ -10,16 +10,16 @@
 
 const run = promisify(execFile);
 const INSTALL_MS = 180_000;
-/** The row of a version that the one process there is holds. */
+/** Status row of the version once it is held by the only process. */
 const IN_FORCE = /opening-night +submit +dana .* 1 +0 +0$/m;
 
-/** Commands that the operators' page shows, at least. */
+/** Minimum number of commands on the operators' page. */
 const MIN_STEPS = 9;
 
-/** Ports that a program prints when it listens. */
+/** Line that a program prints when it listens: its ports by name. */
 type Ports = Readonly<Record<string, number>>;
 
-describe('the package as it ships', function ships() {
+describe('the packed and installed package', function installedPackage() {
   this.timeout(INSTALL_MS);
 
   let folder: string;
@@ -38,8 +38,8 @@
 
   const command = (name: string) => join(folder, 'node_modules', '.bin', name);
 
-  // A newcomer installs the package and asks for help. The first program ended at once, as a class was
-  // used before it was set; neither command ran at all, as their first line named no interpreter.
+  // Guards against packaged commands that do not run: a class that the bundle uses before its
+  // definition, or a missing interpreter line.
   it('starts both commands', async () => {
     for (const name of ['barleyhavend', 'barleyhaven']) {
       const { stdout } = await run(command(name), ['--help']);
@@ -47,7 +47,7 @@
     }
   });
 
-  it('compares rules on a load pattern', async () => {
+  it('compares policies on a load pattern', async () => {
     const pattern = JSON.parse(await readFile('bench/patterns/burst.json', 'utf8')) as object;
     const small = join(folder, 'small.json');
     await writeFile(small, JSON.stringify({ ...pattern, seconds: 1, changes: [] }));
@@ -57,8 +57,8 @@
     expect(new Set(policies)).to.deep.equal(new Set(['ours', 'former', 'simple']));
   });
 
-  /** A platform and one process, both as installed; the ports of the process. */
-  const deployment = async (owned: Ownership): Promise<Ports> => {
+  /** Starts a platform and one installed instance; resolves to the ports of the instance. */
+  const startDeployment = async (owned: Ownership): Promise<Ports> => {
     const platform = await start(owned, 'dist/bench/platform_main.js', [], () => true);
     const flags = {
       instance: 'arima-1',
@@ -74,7 +74,7 @@
     return start(owned, join(installed, 'barleyhavend.js'), args, hasPorts);
   };
 
-  /** Writes the note of the README, and one with a field that nobody knows, as the pages name them. */
+  /** Writes the release note of the README and one with an unknown field, named as in the docs. */
   const writeNotes = async (): Promise<string> => {
     const readme = await readFile('README.md', 'utf8');
     const note = /```yaml\n([^]*?)```/.exec(readme)![1]!;
@@ -87,10 +87,10 @@
     return join(folder, 'opening-night.yaml');
   };
 
-  // The release note of the README, handed in by the command of the README.
+  // Guards against a README whose example release note or command does not work.
   it('puts the first release note in force', async () => {
     await using owned = new Ownership();
-    const { operatorsPort } = await deployment(owned);
+    const { operatorsPort } = await startDeployment(owned);
     const to = ['--to', `127.0.0.1:${operatorsPort}`];
     await run(command('barleyhaven'), ['submit', await writeNotes(), ...to]);
     const status = async () => (await run(command('barleyhaven'), ['status', ...to])).stdout;
@@ -98,28 +98,28 @@
     while (!IN_FORCE.test(await status()));
   });
 
-  // An operator types what the page shows. Each command has to print the first line that stands there,
-  // but for instants, and to end with the same code; the page's ports stand for those of the run.
-  it("runs the session of the operators' page as it is written", async () => {
+  // Guards against an operators' page that differs from the tool: the first line of output, apart from
+  // timestamps, and the exit code of each command must match. The page's port is replaced.
+  it("runs the commands of the operators' page with the documented results", async () => {
     await using owned = new Ownership();
-    const { operatorsPort } = await deployment(owned);
+    const { operatorsPort } = await startDeployment(owned);
     await writeNotes();
     const to = `127.0.0.1:${operatorsPort}`;
     const env = { ...process.env, BARLEYHAVEN_TO: to };
     const page = await readFile('docs/OPERATORS.md', 'utf8');
     const steps = consoleSteps(page).filter(({ program }) => program.startsWith('barleyhaven'));
-    const seen = [];
+    const actual = [];
     for (const { program, args } of steps) {
       const mapped = args.map((arg) => arg.replace('127.0.0.1:7103', to));
       const ended = await run(command(program), mapped, { cwd: folder, env }).then(
         ({ stdout }) => ({ code: 0, text: stdout }),
         (error: Failure) => ({ code: error.code, text: error.stdout + error.stderr }),
       );
-      seen.push({ program, args, code: ended.code, first: firstLine(ended.text) });
+      actual.push({ program, args, code: ended.code, first: firstLine(ended.text) });
     }
-    const written = steps.map((step) => ({ ...step, first: firstLine(step.first) }));
+    const documented = steps.map((step) => ({ ...step, first: firstLine(step.first) }));
     expect(steps.length).to.be.at.least(MIN_STEPS);
-    expect(seen).to.deep.equal(written);
+    expect(actual).to.deep.equal(documented);
   });
 });
 
@@ -129,7 +129,7 @@
   readonly stderr: string;
 }
 
-/** A command of a page, with the line and the exit code that stand behind it. */
+/** A command of a page, with the first line of output and the exit code that follow it. */
 interface Step {
   readonly program: string;
   readonly args: readonly string[];
@@ -157,13 +157,13 @@
     text
       .split('\n')[0]!
       .replace(/\d{4}-\d\d-\d\d \d\d:\d\d:\d\dZ/, 'INSTANT')
-      // Columns are as wide as what stands in them.
+      // The width of columns depends on their content.
       .replace(/ +/g, ' ')
       .trimEnd()
   );
 }
 
-/** Starts a program and resolves to the ports of the first line for which `isReady`. */
+/** Starts a program and resolves to the first line of output for which `isReady` holds. */
 async function start(
   owned: Ownership,
   file: string,
@@ -181,5 +181,5 @@
     const ports = JSON.parse(line) as Ports;
     if (isReady(ports)) return ports;
   }
-  throw new Error(`${file} ended before it listened`);
+  throw new Error(`${file} exited before it listened`);
 }
