--- a/src/bench/replay/station.ts
+++ b/src/bench/replay/station.ts
@@ -11,8 +11,8 @@
 import { AnswerSizes } from '../../placement/answer_sizes.js';
 import { Attempts } from '../../requests/attempts.js';
 import { EmptyBody } from '../../requests/body.js';
-import { type Journey } from '../../requests/journey.js';
-import { withReturnTime } from '../../requests/return_time.js';
+import { type RoutedRequest } from '../../requests/routed_request.js';
+import { withRetryTime } from '../../requests/retry_time.js';
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
 import { type Kind } from './pattern.js';
@@ -88,7 +88,7 @@
       await this.#carry(kind, this.#journey(kind, deadline, targetAt));
     } catch (error) {
       this.#returns.recordRefusal(caller, firstAt);
-      throw withReturnTime(asOutcome(error), this.clock.now(), this.random);
+      throw withRetryTime(asOutcome(error), this.clock.now(), this.random);
     }
   }
 
@@ -150,7 +150,7 @@
     this.#budgets = new RetryBudgets(clock, random);
   }
 
-  async #carry(kind: Kind, journey: Journey): Promise<void> {
+  async #carry(kind: Kind, journey: RoutedRequest): Promise<void> {
     const body = new EmptyBody();
     const attempts = new Attempts(journey, body, this.#balancer, this.#budgets, this.clock);
     let endpoint = attempts.first();
@@ -165,7 +165,7 @@
 
   async #attempt(
     kind: Kind,
-    { deadline, targetAt, upstream }: Journey,
+    { deadline, targetAt, upstream }: RoutedRequest,
     endpoint: EndpointStats,
   ): Promise<OutcomeError | undefined> {
     const startedAt = this.clock.now();
@@ -236,7 +236,7 @@
   }
 
   /** As much of a journey as the decisions look at. */
-  #journey(kind: Kind, deadline: number, targetAt: number): Journey {
+  #journey(kind: Kind, deadline: number, targetAt: number): RoutedRequest {
     const { name, upstream, isRepeatable } = kind;
     const response = {
       headersSent: false,
@@ -256,7 +256,7 @@
       retryPercent: RETRY_PERCENT,
       trace: { note: () => {} },
       isRetriedElsewhere: false,
-    } as unknown as Journey;
+    } as unknown as RoutedRequest;
   }
 }
 
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -15,10 +15,10 @@
 import { Uplink } from '../admission/uplink.js';
 import { Balancer } from '../placement/balancer.js';
 import { Entry } from '../requests/entry.js';
-import { firstLook } from '../requests/first_look.js';
+import { probeUpstream } from '../requests/upstream_probe.js';
 import { Guard } from '../requests/guard.js';
-import { OWN_DIALECT } from '../requests/own_dialect.js';
-import { Presence } from '../requests/presence.js';
+import { DEFAULT_DIALECT } from '../requests/default_dialect.js';
+import { DisconnectCheck } from '../requests/disconnect_check.js';
 import {
   allowanceOf,
   type RetrySettings,
@@ -136,8 +136,8 @@
     this.guard = ports.guard;
     this.guard.configuration = () => this.replica.current;
     this.control.endpointLease.onTaken((announcement) => this.guard.announce(announcement));
-    this.guard.rollouts = this.rollouts;
-    this.guard.onRefused = () => this.control.endpointLease.refused();
+    this.guard.rolloutObserver = this.rollouts;
+    this.guard.onConnectionRefused = () => this.control.endpointLease.refused();
     this.entry = new Entry(
       () => this.replica.current,
       () => this.control.readiness.isReady,
@@ -153,7 +153,7 @@
     const takesKeys = dialect?.takesKeys ?? true;
     const safeguardParts = { platform, clock, random, mesh, methods, ranking, takesKeys };
     this.safeguards = new Safeguards(self.instance, safeguardParts);
-    this.safeguards.protect(this.entry, this.guard);
+    this.safeguards.install(this.entry, this.guard);
     this.entryMeter = new RequestMeter(this.entry.server, clock);
     this.guardMeter = new RequestMeter(this.guard.server, clock);
     this.#operators = new OperatorsPort(this);
@@ -183,7 +183,7 @@
   static async start(settings: Settings, dependencies: InstanceDependencies): Promise<Instance> {
     const { clock, dialect } = dependencies;
     const uplink = new Uplink(clock, settings.uplinkKbps);
-    const presence = new Presence(clock);
+    const presence = new DisconnectCheck(clock);
     const guard = new Guard(clock, dialect, uplink, presence);
     const ports = { guard, uplink, presence, link: createServer() };
     const { host } = settings;
@@ -224,15 +224,15 @@
     const { clock } = this.dependencies;
     const closeAt = Math.min(deadline, clock.now() + this.settings.noticeMs);
     this.#isStopping = true;
-    this.entry.traffic.leave();
+    this.entry.tracker.beginShutdown();
     this.log.record('info', { event: 'stopping' });
     await clock.sleepUntil(closeAt - this.settings.drainMs);
-    this.guard.leave();
+    this.guard.beginShutdown();
     this.control.endpointLease.leave();
     await clock.sleepUntil(closeAt);
-    this.entry.traffic.close();
-    await this.entry.traffic.finish(deadline);
-    await this.guard.traffic.finish(deadline);
+    this.entry.tracker.stopAccepting();
+    await this.entry.tracker.waitUntilIdle(deadline);
+    await this.guard.tracker.waitUntilIdle(deadline);
     await this.#logStopped();
   }
 
@@ -282,12 +282,15 @@
   async #probeUpstream(): Promise<void> {
     const { upstreamName, upstreamAddress } = this.settings;
     if (upstreamName === undefined || upstreamAddress === undefined) return;
-    const { clock, dialect = OWN_DIALECT } = this.dependencies;
+    const { clock, dialect = DEFAULT_DIALECT } = this.dependencies;
     await this.replica.above(0, clock.now() + CONFIGURATION_TIMEOUT_MS, clock, NEVER_ABORTED);
     const path = this.replica.current.find('upstream', upstreamName)?.healthPath;
     if (path === undefined) return;
     const { endpointLease } = this.control;
-    const { identity, isDeclined } = await firstLook({ ...upstreamAddress, path }, dialect);
+    const { identity, refusesWork: isDeclined } = await probeUpstream(
+      { ...upstreamAddress, path },
+      dialect,
+    );
     if (isDeclined) endpointLease.doubt();
     if (!identity || endpointLease.isKnown) return;
     endpointLease.take({
@@ -302,7 +305,7 @@
   /** Logs how many requests the stop cuts, for whoever traces one of them, and drains the log. */
   async #logStopped(): Promise<void> {
     const { clock } = this.dependencies;
-    const inFlight = this.entry.traffic.inFlight + this.guard.traffic.inFlight;
+    const inFlight = this.entry.tracker.inFlight + this.guard.tracker.inFlight;
     this.#tally.flush();
     this.log.record('info', { event: 'stopped', inFlight });
     await this.log.drain(clock.now() + LOG_DRAIN_TIMEOUT_MS);
@@ -350,7 +353,7 @@
   /** The network link that carries the responses of entry and guard. */
   readonly uplink: Uplink;
   /** Shared, so that entry and guard check their callers in the same turns of the event loop. */
-  readonly presence: Presence;
+  readonly presence: DisconnectCheck;
   readonly link: Server;
 }
 
--- a/src/platform/mesh_dialect.ts
+++ b/src/platform/mesh_dialect.ts
@@ -1,6 +1,6 @@
 /** Headers and status codes that callers and upstream instances use on the operators' platform. */
 import { type IncomingHttpHeaders, type IncomingMessage } from 'node:http';
-import { Dialect, type Identity, type Meaning } from '../requests/dialect.js';
+import { Dialect, type Identity, type ResponseKind } from '../requests/dialect.js';
 import { headerOf } from '../requests/headers.js';
 import {
   CALLER_HEADER,
@@ -20,11 +20,11 @@
 const MS_PER_SECOND = 1_000;
 
 export class MeshDialect extends Dialect {
-  readonly fromCallers: ReadonlySet<string> = new Set([REQUEST_ID_HEADER]);
+  readonly allowedFromCallers: ReadonlySet<string> = new Set([REQUEST_ID_HEADER]);
 
-  readonly fromEntries: ReadonlySet<string> = new Set([REQUEST_ID_HEADER, CALLER_HEADER]);
+  readonly allowedFromEntries: ReadonlySet<string> = new Set([REQUEST_ID_HEADER, CALLER_HEADER]);
 
-  readonly fromUpstreams: ReadonlySet<string> = new Set([
+  readonly allowedFromUpstreams: ReadonlySet<string> = new Set([
     REQUEST_ID_HEADER,
     SIGNATURE_HEADER,
     INSTANCE_HEADER,
@@ -50,17 +50,17 @@
     return timeoutMs > 0 ? timeoutMs : undefined;
   }
 
-  originHeaders(): readonly string[] {
+  entryHeaders(): readonly string[] {
     return [CALLER_HEADER, this.service()];
   }
 
-  upstreamHeaders(remainingMs: number, endpoint: string | undefined): readonly string[] {
+  guardHeaders(remainingMs: number, endpoint: string | undefined): readonly string[] {
     const headers = [TIMEOUT_HEADER, String(remainingMs)];
     if (endpoint !== undefined) headers.push(TARGET_HEADER, endpoint);
     return headers;
   }
 
-  meaningOf(request: IncomingMessage, answer: IncomingMessage): Meaning {
+  classifyResponse(request: IncomingMessage, answer: IncomingMessage): ResponseKind {
     const id = headerOf(answer, REQUEST_ID_HEADER);
     if (id !== undefined && id !== headerOf(request, REQUEST_ID_HEADER)) return 'crossed';
     const { statusCode } = answer;
@@ -77,7 +77,7 @@
     return { id, slots };
   }
 
-  declines(answer: IncomingMessage): boolean {
+  refusesWork(answer: IncomingMessage): boolean {
     const hasNoRoom = headerOf(answer, NOT_EXECUTED_HEADER) !== undefined;
     return answer.statusCode === SERVICE_UNAVAILABLE && !hasNoRoom;
   }
--- a/src/requests/attempts.ts
+++ b/src/requests/attempts.ts
@@ -4,7 +4,7 @@
 import { type Balancer } from '../placement/balancer.js';
 import { type Body } from './body.js';
 import { type EndpointStats } from '../placement/endpoint_stats.js';
-import { type Journey } from './journey.js';
+import { type RoutedRequest } from './routed_request.js';
 import { RETRIED } from './headers.js';
 import {
   type FailedAttempt,
@@ -39,7 +39,7 @@
   #verdict: Verdict = 'not-run';
 
   constructor(
-    private readonly routed: Journey,
+    private readonly routed: RoutedRequest,
     private readonly body: Body,
     private readonly balancer: Balancer,
     private readonly budgets: RetryBudgets,
--- a/src/requests/own_dialect.ts
+++ b/src/requests/default_dialect.ts
@@ -1,16 +1,16 @@
 /** The default header conventions, documented in `docs/OPERATORS.md`. */
 import { type IncomingHttpHeaders } from 'node:http';
-import { Dialect, type Meaning } from './dialect.js';
+import { Dialect, type ResponseKind } from './dialect.js';
 import { CALLER_REQUEST_ID, CALLER_TIMEOUT, headerOf, NO_HEADERS, RETRIED } from './headers.js';
 
 const MS_PER_SECOND = 1000;
 
 export class DefaultDialect extends Dialect {
-  readonly fromCallers = NO_HEADERS;
+  readonly allowedFromCallers = NO_HEADERS;
 
-  readonly fromEntries = NO_HEADERS;
+  readonly allowedFromEntries = NO_HEADERS;
 
-  readonly fromUpstreams: ReadonlySet<string> = new Set([RETRIED]);
+  readonly allowedFromUpstreams: ReadonlySet<string> = new Set([RETRIED]);
 
   readonly takesKeys = true;
 
@@ -23,16 +23,16 @@
     return asked > 0 ? asked : undefined;
   }
 
-  originHeaders(): readonly string[] {
+  entryHeaders(): readonly string[] {
     return [];
   }
 
-  upstreamHeaders(remainingMs: number): readonly string[] {
+  guardHeaders(remainingMs: number): readonly string[] {
     return [CALLER_TIMEOUT, String(remainingMs)];
   }
 
   /** A refusal for lack of capacity proves nothing here: part of the work may have run. */
-  meaningOf(): Meaning {
+  classifyResponse(): ResponseKind {
     return 'answer';
   }
 
@@ -40,7 +40,7 @@
     return undefined;
   }
 
-  declines(): boolean {
+  refusesWork(): boolean {
     return false;
   }
 
@@ -50,4 +50,4 @@
   }
 }
 
-export const OWN_DIALECT = new DefaultDialect();
+export const DEFAULT_DIALECT = new DefaultDialect();
--- a/src/requests/dialect.ts
+++ b/src/requests/dialect.ts
@@ -9,7 +9,7 @@
  * - `elsewhere`: proof that it was not run, because another instance has that address now.
  * - `crossed`: the response to another request.
  */
-export type Meaning = 'answer' | 'shed' | 'elsewhere' | 'crossed';
+export type ResponseKind = 'answer' | 'shed' | 'elsewhere' | 'crossed';
 
 /** What an upstream instance reports about itself. */
 export interface Identity {
@@ -19,13 +19,13 @@
 
 export abstract class Dialect {
   /** Headers with the internal prefix that callers may set; they are forwarded to upstream instances. */
-  abstract readonly fromCallers: ReadonlySet<string>;
+  abstract readonly allowedFromCallers: ReadonlySet<string>;
 
   /** The same headers and those that the entry adds. */
-  abstract readonly fromEntries: ReadonlySet<string>;
+  abstract readonly allowedFromEntries: ReadonlySet<string>;
 
   /** Headers with the internal prefix that upstream instances may set; they are forwarded to callers. */
-  abstract readonly fromUpstreams: ReadonlySet<string>;
+  abstract readonly allowedFromUpstreams: ReadonlySet<string>;
 
   /** Whether callers may send an `Idempotency-Key` to have a request run at most once. */
   abstract readonly takesKeys: boolean;
@@ -37,18 +37,18 @@
   abstract callerTimeoutMs(headers: IncomingHttpHeaders): number | undefined;
 
   /** Headers that an entry adds for the upstream instance, as alternating names and values. */
-  abstract originHeaders(): readonly string[];
+  abstract entryHeaders(): readonly string[];
 
   /** Headers that a guard adds, in the same form; `endpoint` is the id that the instance announced. */
-  abstract upstreamHeaders(remainingMs: number, endpoint: string | undefined): readonly string[];
+  abstract guardHeaders(remainingMs: number, endpoint: string | undefined): readonly string[];
 
-  abstract meaningOf(request: IncomingMessage, answer: IncomingMessage): Meaning;
+  abstract classifyResponse(request: IncomingMessage, answer: IncomingMessage): ResponseKind;
 
   /** The instance that answered a health check, if it accepts work. */
   abstract identityOf(answer: IncomingMessage): Identity | undefined;
 
   /** Whether a health check shows that the instance accepts no work, for a reason other than lack of capacity. */
-  abstract declines(answer: IncomingMessage): boolean;
+  abstract refusesWork(answer: IncomingMessage): boolean;
 
   /** The value of `Retry-After` for a delay in milliseconds. */
   abstract retryAfter(waitMs: number): string;
--- a/src/requests/presence.ts
+++ b/src/requests/disconnect_check.ts
@@ -24,7 +24,7 @@
  * once more, which is soon in a process that keeps up. In one that lags, a batch may take as long as
  * the reading before it: its knowledge of callers stays fresh, and reading does not hold up requests.
  */
-export class Presence {
+export class DisconnectCheck {
   #batch = 0;
 
   /** Instant at which the last batch ended and Node began to read connections again. */
--- a/src/requests/entry.ts
+++ b/src/requests/entry.ts
@@ -8,7 +8,7 @@
 import { Attempts } from './attempts.js';
 import { type Balancer } from '../placement/balancer.js';
 import { type Body, EmptyBody, hasBody, readBody } from './body.js';
-import { ConnectionPool } from './connections.js';
+import { ConnectionPool } from './connection_pool.js';
 import { type Dialect } from './dialect.js';
 import { Exchange } from './exchange.js';
 import { type EndpointStats } from '../placement/endpoint_stats.js';
@@ -22,17 +22,17 @@
   CALLER_VISIBLE_HEADERS,
 } from './headers.js';
 import { handoverHeaders } from './handover.js';
-import { SERVER_OPTIONS, ClientErrors } from './hostility.js';
-import { type Journey, routeRequest } from './journey.js';
+import { SERVER_OPTIONS, ClientErrors } from './client_errors.js';
+import { type RoutedRequest, routeRequest } from './routed_request.js';
 import { parseLoad } from '../admission/load.js';
 import { Uplink } from '../admission/uplink.js';
 import { type Quarantine } from '../quarantine/quarantine.js';
 import { refuse } from './refusal.js';
-import { parseGuardRefusal } from './relayed_refusal.js';
+import { parseGuardRefusal } from './guard_refusal.js';
 import { headFingerprint } from '../quarantine/request_fingerprint.js';
-import { OWN_DIALECT } from './own_dialect.js';
-import { Presence } from './presence.js';
-import { withReturnTime } from './return_time.js';
+import { DEFAULT_DIALECT } from './default_dialect.js';
+import { DisconnectCheck } from './disconnect_check.js';
+import { withRetryTime } from './retry_time.js';
 import {
   type RetrySettings,
   type RetryBudget,
@@ -41,7 +41,7 @@
 } from '../placement/retry_budget.js';
 import { ReturningCallers } from '../placement/returning_callers.js';
 import { Split } from '../placement/split.js';
-import { RequestTracker } from './traffic.js';
+import { RequestTracker } from './request_tracker.js';
 import { AnswerSizes } from '../placement/answer_sizes.js';
 
 const MAX_SOCKETS_PER_GUARD = 256;
@@ -56,7 +56,7 @@
 export class Entry implements AsyncDisposable {
   readonly server: Server;
 
-  readonly traffic: RequestTracker;
+  readonly tracker: RequestTracker;
 
   /** Set before the first request; guards check it again, including the body. */
   quarantine: Quarantine | undefined;
@@ -90,13 +90,16 @@
     private readonly balancer: Balancer,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly dialect: Dialect = OWN_DIALECT,
+    private readonly dialect: Dialect = DEFAULT_DIALECT,
     private readonly retries: RetrySettings = DEFAULT_RETRY_SETTINGS,
     private readonly uplink: Uplink = new Uplink(clock),
-    private readonly disconnectCheck = new Presence(clock),
+    private readonly disconnectCheck = new DisconnectCheck(clock),
   ) {
     this.requestLog = silentRequests(clock);
-    this.#callerVisibleHeaders = new Set([...CALLER_VISIBLE_HEADERS, ...dialect.fromUpstreams]);
+    this.#callerVisibleHeaders = new Set([
+      ...CALLER_VISIBLE_HEADERS,
+      ...dialect.allowedFromUpstreams,
+    ]);
     this.#budgets = new RetryBudgets(clock, random, retries.allowance);
     this.#nonce = random.nonce();
     this.#connections = new ConnectionPool(clock, MAX_SOCKETS_PER_GUARD);
@@ -104,7 +107,7 @@
       void this.#serve(request, response);
     this.server = createServer(SERVER_OPTIONS, serve);
     this.server.on('checkContinue', serve);
-    this.traffic = new RequestTracker(this.server, clock);
+    this.tracker = new RequestTracker(this.server, clock);
     this.#clientErrors = new ClientErrors(this.server);
   }
 
@@ -114,16 +117,16 @@
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.traffic.destroyConnections();
+    this.tracker.destroyConnections();
     this.#connections.destroy();
   }
 
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (!this.traffic.track(response)) return;
+    if (!this.tracker.track(response)) return;
     this.#clientErrors.track(request, response);
     const id = this.dialect.requestIdOf(request.headers) ?? this.#nextId();
     const trace = this.requestLog.begin(id);
-    let routed: Journey | undefined;
+    let routed: RoutedRequest | undefined;
     try {
       routed = this.#route(request, response, trace);
       const body = hasBody(request) ? await this.#readBody(routed) : new EmptyBody(request.method);
@@ -131,7 +134,7 @@
       trace.answered('entry-ended', response);
     } catch (error) {
       const now = this.clock.now();
-      const outcome = withReturnTime(asOutcome(error), now, this.random);
+      const outcome = withRetryTime(asOutcome(error), now, this.random);
       const isCut = response.headersSent;
       if (routed?.caller) this.#returns.recordRefusal(routed.caller, routed.firstAt);
       refuse(response, outcome, now, this.dialect);
@@ -140,7 +143,7 @@
   }
 
   /** Routes a request that has arrived; throws the refusal if it cannot be served. */
-  #route(request: IncomingMessage, response: ServerResponse, trace: Trace): Journey {
+  #route(request: IncomingMessage, response: ServerResponse, trace: Trace): RoutedRequest {
     if (!this.isReady()) throw notRun('not-ready', 'this process has no configuration yet');
     const now = this.clock.now();
     const configuration = this.configuration();
@@ -171,14 +174,14 @@
   }
 
   /** Checks the head only: requests quarantined by their body are refused by the guard. */
-  #checkQuarantine({ request, upstream, target }: Journey): void {
+  #checkQuarantine({ request, upstream, target }: RoutedRequest): void {
     const { quarantine } = this;
     if (!quarantine || quarantine.isIdle) return;
     const { method, url } = target;
     quarantine.check(headFingerprint(upstream, { method, url, headers: request.headers }));
   }
 
-  async #readBody({ request, response, route, deadline }: Journey): Promise<Body> {
+  async #readBody({ request, response, route, deadline }: RoutedRequest): Promise<Body> {
     const { maxBodyBytes } = route;
     const isTooLarge = Number(request.headers['content-length'] ?? 0) > maxBodyBytes;
     if (request.headers.expect !== undefined && !isTooLarge) response.writeContinue();
@@ -188,7 +191,7 @@
   }
 
   /** Tries one endpoint after the other until one responds or `Attempts` allows no further attempt. */
-  async #tryEndpoints(routed: Journey, body: Body): Promise<void> {
+  async #tryEndpoints(routed: RoutedRequest, body: Body): Promise<void> {
     const attempts = new Attempts(routed, body, this.balancer, this.#budgets, this.clock);
     let endpoint = attempts.first();
     while (true) {
@@ -202,7 +205,7 @@
 
   /** Resolves to the failure, or to undefined once the caller has its response. */
   async #attempt(
-    routed: Journey,
+    routed: RoutedRequest,
     body: Body,
     endpoint: EndpointStats,
     attempts: Attempts,
@@ -226,7 +229,7 @@
   }
 
   async #sendTo(
-    routed: Journey,
+    routed: RoutedRequest,
     body: Body,
     endpoint: EndpointStats,
     attempts: Attempts,
@@ -237,7 +240,7 @@
     endpoint.recordSent(startedAt);
     const exchange = this.#exchange(routed, body, endpoint, id, () => {
       this.balancer.recordRefusal(endpoint, unacknowledged(), undefined);
-      return !this.traffic.isShuttingDown && attempts.canFailOverFrom(endpoint);
+      return !this.tracker.isShuttingDown && attempts.canFailOverFrom(endpoint);
     });
     const answer = await exchange.send();
     if (answer.headers[EXCHANGE_ID] !== id) throw exchange.abortMismatched();
@@ -263,7 +266,7 @@
   }
 
   #exchange(
-    routed: Journey,
+    routed: RoutedRequest,
     body: Body,
     endpoint: EndpointStats,
     id: string,
@@ -291,14 +294,19 @@
     );
   }
 
-  #noteSent({ trace }: Journey, endpoint: EndpointStats, exchange: string, attempt: number): void {
+  #noteSent(
+    { trace }: RoutedRequest,
+    endpoint: EndpointStats,
+    exchange: string,
+    attempt: number,
+  ): void {
     const { instance, dataCentre } = endpoint.member;
     const seen = this.balancer.snapshotOf(endpoint);
     trace.note({ event: 'sent', exchange, endpoint: instance, dataCentre, attempt, ...seen });
   }
 
   #noteFailed(
-    { trace }: Journey,
+    { trace }: RoutedRequest,
     { member }: EndpointStats,
     exchange: string,
     { verdict, reason, message }: OutcomeError,
--- a/src/requests/exchange.ts
+++ b/src/requests/exchange.ts
@@ -11,10 +11,10 @@
 import { OutcomeError, type Verdict } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Body } from './body.js';
-import { type ConnectionPool } from './connections.js';
+import { type ConnectionPool } from './connection_pool.js';
 import { trailersOf } from './headers.js';
-import { PacedResponse } from './paced_answer.js';
-import { isGone, whenGone } from './presence.js';
+import { PacedResponse } from './paced_response.js';
+import { isGone, whenGone } from './disconnect_check.js';
 
 /**
  * A new connection takes about a millisecond, also to another data centre. A lost SYN is
--- a/src/requests/guard.ts
+++ b/src/requests/guard.ts
@@ -7,7 +7,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Body, EmptyBody, hasBody, PeekedBody, StreamedBody } from './body.js';
 import { type Claims } from '../claims/claims.js';
-import { ConnectionPool } from './connections.js';
+import { ConnectionPool } from './connection_pool.js';
 import { type Dialect } from './dialect.js';
 import { Exchange } from './exchange.js';
 import {
@@ -31,20 +31,20 @@
   guardRequestOf,
   type AnnouncedEndpoint,
   type Arrival,
-} from './admission.js';
+} from './guard_request.js';
 import { ConcurrencyLimiter, type JobResult } from '../admission/concurrency_limiter.js';
 import { type Load, formatLoad } from '../admission/load.js';
 import { type Reservation, Uplink } from '../admission/uplink.js';
-import { type CrashDetector } from '../quarantine/flights.js';
+import { type CrashDetector } from '../quarantine/crash_detector.js';
 import { AnswerSizes } from '../placement/answer_sizes.js';
 import { type HeldClaim } from '../claims/held_claim.js';
 import { runOnce } from '../claims/once.js';
 import { relayAndKeep } from '../claims/outcome.js';
 import { type Observer, type ObservedAnswer } from '../rollout/observer.js';
-import { OWN_DIALECT } from './own_dialect.js';
-import { Presence } from './presence.js';
+import { DEFAULT_DIALECT } from './default_dialect.js';
+import { DisconnectCheck } from './disconnect_check.js';
 import { refuse } from './refusal.js';
-import { RequestTracker } from './traffic.js';
+import { RequestTracker } from './request_tracker.js';
 
 /** Most connections to the upstream instance, which accepts about 100 in total. */
 const MAX_CONNECTIONS = 100;
@@ -60,7 +60,7 @@
 
   readonly limit: ConcurrencyLimiter;
 
-  readonly traffic: RequestTracker;
+  readonly tracker: RequestTracker;
 
   announced: AnnouncedEndpoint | undefined;
 
@@ -74,10 +74,10 @@
   requestLog: RequestLog;
 
   /** Set before the first request; without it, no results are counted and no version is shut out. */
-  rollouts: Observer | undefined;
+  rolloutObserver: Observer | undefined;
 
   /** Called when the upstream instance refuses a connection: nothing listens there any more. */
-  onRefused: () => void = () => {};
+  onConnectionRefused: () => void = () => {};
 
   /** The configuration in force, in which the limits of routes are looked up. */
   configuration = () => Configuration.empty;
@@ -91,9 +91,9 @@
 
   constructor(
     private readonly clock: Clock,
-    private readonly dialect: Dialect = OWN_DIALECT,
+    private readonly dialect: Dialect = DEFAULT_DIALECT,
     private readonly uplink: Uplink = new Uplink(clock),
-    private readonly disconnectCheck = new Presence(clock),
+    private readonly disconnectCheck = new DisconnectCheck(clock),
   ) {
     this.limit = new ConcurrencyLimiter(clock, DEFAULT_SLOTS);
     this.requestLog = silentRequests(clock);
@@ -102,7 +102,7 @@
       void this.#serve(request, response);
     this.server = createServer({ keepAliveTimeout: KEEP_ALIVE_MS, requestTimeout: 0 }, serve);
     this.server.on('checkContinue', serve);
-    this.traffic = new RequestTracker(this.server, clock);
+    this.tracker = new RequestTracker(this.server, clock);
   }
 
   /** Applies an announcement of the upstream instance. */
@@ -128,14 +128,14 @@
   }
 
   /** Starts the shutdown of this process: new and waiting requests are refused. */
-  leave(): void {
+  beginShutdown(): void {
     this.#isShuttingDown = true;
     this.#updateDraining();
-    this.traffic.leave();
+    this.tracker.beginShutdown();
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    this.traffic.destroyConnections();
+    this.tracker.destroyConnections();
     this.#connections.destroy();
   }
 
@@ -144,7 +144,7 @@
   }
 
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
-    if (!this.traffic.track(response)) return;
+    if (!this.tracker.track(response)) return;
     response.writeProcessing();
     const exchange = headerOf(request, EXCHANGE_ID) ?? '';
     const trace = this.requestLog.begin(this.dialect.requestIdOf(request.headers) ?? exchange);
@@ -154,7 +154,7 @@
       await this.disconnectCheck.runIfConnected(response, () => this.#handle(arrival));
       trace.answered('guard-ended', response, this.#hopState(exchange));
     } catch (error) {
-      if (isConnectionRefused(error)) this.onRefused();
+      if (isConnectionRefused(error)) this.onConnectionRefused();
       const isCut = response.headersSent;
       if (!isCut) this.#setExchangeHeaders(request, response);
       const outcome = asOutcome(error);
@@ -179,7 +179,7 @@
   async #run(guardRequest: GuardRequest, source: Readable, claim?: HeldClaim): Promise<void> {
     const { crashDetector } = this;
     guardRequest.departure = this.#departure(guardRequest);
-    const { rollouts } = this;
+    const { rolloutObserver: rollouts } = this;
     const forward = () => this.#forward(guardRequest, source, claim);
     const observed = rollouts ? () => rollouts.observe(guardRequest.kind, forward) : forward;
     const work = crashDetector ? () => crashDetector.watch(guardRequest, observed) : observed;
@@ -227,7 +227,7 @@
     }
     if (this.limit.isDraining) throw notRun('draining', `upstream ${upstream} is draining`);
     // An entry that has not learned of the rollback yet would still send requests to the bad version.
-    if (this.rollouts?.isShut)
+    if (this.rolloutObserver?.isShut)
       throw notRun('draining', `this version of upstream ${upstream} was rolled back`);
     return announced;
   }
@@ -249,7 +249,7 @@
     const status = answer.statusCode ?? SERVICE_UNAVAILABLE;
     const isShed = isShedResponse(status, answer);
     // Internal headers set by the upstream instance are dropped: only barleyhaven may set them.
-    const headers = responseHeaders(answer, this.dialect.fromUpstreams);
+    const headers = responseHeaders(answer, this.dialect.allowedFromUpstreams);
     headers.push(VERDICT, 'ran', EXCHANGE_ID, headerOf(request, EXCHANGE_ID) ?? '');
     headers.push(LOAD, formatLoad(this.load));
     if (isShed) headers.push(SHED, '1');
@@ -289,13 +289,13 @@
 
   /** Throws if the response is a refusal, or belongs to another request. */
   #checkResponse(request: IncomingMessage, answer: IncomingMessage, exchange: Exchange): void {
-    const kind = this.dialect.meaningOf(request, answer);
+    const kind = this.dialect.classifyResponse(request, answer);
     if (kind === 'answer') return;
     if (kind === 'crossed') throw exchange.abortMismatched();
     exchange.discard(answer);
     if (kind === 'shed') throw notRun('shed', 'upstream instance had no capacity');
     // The announced instance no longer exists.
-    this.onRefused();
+    this.onConnectionRefused();
     throw notRun('no-endpoint', 'another instance has the announced address');
   }
 
@@ -303,8 +303,8 @@
     const { request, response, announced, deadline } = guardRequest;
     const { host, port, id } = announced;
     const remaining = Math.max(1, Math.floor(deadline - this.clock.now()));
-    const headers = requestHeaders(request, this.dialect.fromEntries);
-    headers.push(...this.dialect.upstreamHeaders(remaining, id));
+    const headers = requestHeaders(request, this.dialect.allowedFromEntries);
+    headers.push(...this.dialect.guardHeaders(remaining, id));
     if (request.headers[RETRIED] !== undefined) headers.push(RETRIED, '1');
     return new Exchange(
       {
--- a/src/requests/admission.ts
+++ b/src/requests/guard_request.ts
@@ -6,7 +6,7 @@
 import { type Endpoint, MAX_TIMEOUT_MS } from '../contracts.js';
 import { type Trace } from '../logs/request_log.js';
 import { headerOf, LIMIT, PRIORITY, REMAINING, ROUTE, TARGET } from './headers.js';
-import { whenGone } from './presence.js';
+import { whenGone } from './disconnect_check.js';
 
 const DEFAULT_REMAINING_MS = 10_000;
 const DEFAULT_PRIORITY = 5;
--- a/src/requests/handover.ts
+++ b/src/requests/handover.ts
@@ -15,11 +15,11 @@
   TARGET,
   UPSTREAM,
 } from './headers.js';
-import { type Journey } from './journey.js';
+import { type RoutedRequest } from './routed_request.js';
 
 /** Headers for the guard, as alternating names and values; `id` is that of the exchange. */
 export function handoverHeaders(
-  routed: Journey,
+  routed: RoutedRequest,
   id: string,
   dialect: Dialect,
   clock: Clock,
@@ -27,8 +27,8 @@
   const { request, route, upstream, deadline, targetAt, isRepeatable } = routed;
   const now = clock.now();
   const remaining = Math.max(1, Math.floor(deadline - now));
-  const headers = requestHeaders(request, dialect.fromCallers);
-  headers.push(...dialect.originHeaders());
+  const headers = requestHeaders(request, dialect.allowedFromCallers);
+  headers.push(...dialect.entryHeaders());
   headers.push(UPSTREAM, upstream, EXCHANGE_ID, id, REMAINING, String(remaining));
   headers.push(PRIORITY, String(route.priority), ROUTE, route.name);
   headers.push(TARGET, String(Math.floor(targetAt - now)));
@@ -40,6 +40,6 @@
   return headers;
 }
 
-function isRetried({ isRetriedElsewhere, response }: Journey): boolean {
+function isRetried({ isRetriedElsewhere, response }: RoutedRequest): boolean {
   return isRetriedElsewhere || response.hasHeader(RETRIED);
 }
--- a/src/requests/refusal.ts
+++ b/src/requests/refusal.ts
@@ -3,7 +3,7 @@
 import { OutcomeError, type Verdict } from '../contracts.js';
 import { type Dialect } from './dialect.js';
 import { REASON, RETRY_AFTER, VERDICT } from './headers.js';
-import { OWN_DIALECT } from './own_dialect.js';
+import { DEFAULT_DIALECT } from './default_dialect.js';
 
 /** Status by reason; for other reasons 503 if the request has certainly not run, otherwise 502. */
 const STATUS: Readonly<Record<string, number>> = {
@@ -49,7 +49,7 @@
   response: ServerResponse,
   error: OutcomeError,
   now: number,
-  dialect: Dialect = OWN_DIALECT,
+  dialect: Dialect = DEFAULT_DIALECT,
 ): void {
   const request = response.req;
   if (response.headersSent || response.destroyed) {
@@ -73,7 +73,7 @@
 export function rawRefusal(error: OutcomeError): string {
   const body = bodyOf(error);
   const status = statusOf(error);
-  const headers = { ...headersOf(error, body, 0, OWN_DIALECT), connection: 'close' };
+  const headers = { ...headersOf(error, body, 0, DEFAULT_DIALECT), connection: 'close' };
   const lines = Object.entries(headers).map(([name, value]) => `${name}: ${value}\r\n`);
   return `HTTP/1.1 ${status} ${STATUS_CODES[status]}\r\n${lines.join('')}\r\n${body}`;
 }
--- a/src/requests/traffic.ts
+++ b/src/requests/request_tracker.ts
@@ -2,7 +2,7 @@
 import { type Server, type ServerResponse } from 'node:http';
 import { type Duplex } from 'node:stream';
 import { type Clock } from '../runtime/clock.js';
-import { GONE } from './presence.js';
+import { GONE } from './disconnect_check.js';
 
 /** How often the count is checked during a shutdown, in milliseconds. */
 const POLL_INTERVAL_MS = 10;
@@ -82,17 +82,17 @@
   }
 
   /** From now on, each response asks the other end to close its connection. */
-  leave(): void {
+  beginShutdown(): void {
     this.#isShuttingDown = true;
   }
 
   /** Accepts no new connections and closes idle ones. */
-  close(): void {
+  stopAccepting(): void {
     this.server.close();
   }
 
   /** Resolves when no request is in flight, or at the deadline; true if none was left. */
-  async finish(deadline: number): Promise<boolean> {
+  async waitUntilIdle(deadline: number): Promise<boolean> {
     while (this.#inFlight > 0) {
       const now = this.clock.now();
       if (now >= deadline) return false;
--- a/src/requests/return_time.ts
+++ b/src/requests/retry_time.ts
@@ -19,7 +19,7 @@
 ]);
 
 /** Adds a retry time, with jitter, to a refusal that a later attempt may avoid. */
-export function withReturnTime(outcome: OutcomeError, now: number, random: Random): OutcomeError {
+export function withRetryTime(outcome: OutcomeError, now: number, random: Random): OutcomeError {
   const { verdict, reason, retryAt = now + DEFAULT_RETRY_MS, message } = outcome;
   if (verdict !== 'not-run' || FINAL.has(reason)) return outcome;
   const spread = random.jitter(Math.max(0, retryAt - now) * RETRY_SPREAD);
--- a/src/requests/journey.ts
+++ b/src/requests/routed_request.ts
@@ -12,7 +12,7 @@
 import { type RequestTarget, parseTarget } from './target.js';
 
 /** A routed request; it keeps the version of the configuration in force at its arrival. */
-export interface Journey {
+export interface RoutedRequest {
   readonly request: IncomingMessage;
   readonly response: ServerResponse;
   readonly target: RequestTarget;
@@ -56,7 +56,7 @@
   configuration: Configuration,
   now: number,
   { dialect, split, returns, weights, retryPercent, trace }: RoutingContext,
-): Journey {
+): RoutedRequest {
   const target = parseTarget(request);
   const route = routeOf(configuration, target);
   if (!route) throw notRun('no-route', `no route for ${target.method} ${target.path}`);
--- a/src/requests/safeguards.ts
+++ b/src/requests/safeguards.ts
@@ -5,11 +5,11 @@
 import { type Platform } from '../platform/platform.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { BulletinBroadcaster } from '../quarantine/bulletins.js';
+import { BulletinBroadcaster } from '../quarantine/bulletin_broadcaster.js';
 import { ClaimSweep } from '../claims/claim_sweep.js';
 import { Claims } from '../claims/claims.js';
 import { type Entry } from './entry.js';
-import { CrashDetector } from '../quarantine/flights.js';
+import { CrashDetector } from '../quarantine/crash_detector.js';
 import { type Guard } from './guard.js';
 import { type Quarantine } from '../quarantine/quarantine.js';
 import { SingleClaims } from '../claims/single_claims.js';
@@ -53,7 +53,7 @@
   }
 
   /** Installs the safeguards in the entry and the guard; called before the first request. */
-  protect(entry: Entry, guard: Guard): void {
+  install(entry: Entry, guard: Guard): void {
     const { quarantine } = this;
     entry.quarantine = quarantine;
     guard.claims = this.claims;
--- a/src/requests/first_look.ts
+++ b/src/requests/upstream_probe.ts
@@ -16,20 +16,20 @@
   /** Set if the instance accepts work. */
   readonly identity?: Identity | undefined;
   /** Whether the instance reports that it accepts none. */
-  readonly isDeclined: boolean;
+  readonly refusesWork: boolean;
 }
 
-export async function firstLook(
+export async function probeUpstream(
   place: HealthCheckAddress,
   dialect: Dialect,
 ): Promise<UpstreamProbe> {
   try {
     const answer = await fetchHealth(place);
     answer.resume();
-    return { identity: dialect.identityOf(answer), isDeclined: dialect.declines(answer) };
+    return { identity: dialect.identityOf(answer), refusesWork: dialect.refusesWork(answer) };
   } catch {
     // Nothing listens there yet: the instance's first announcement will identify it.
-    return { isDeclined: false };
+    return { refusesWork: false };
   }
 }
 
--- a/src/test/claims/claims_test.ts
+++ b/src/test/claims/claims_test.ts
@@ -12,7 +12,7 @@
 import { TimerClock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { PlatformStore } from '../../standins/platform_store.js';
-import { UnsteadyPlatform } from '../requests/unsteady_platform.js';
+import { FaultyPlatform } from '../requests/faulty_platform.js';
 
 const OUTCOME: Outcome = { status: 201, headers: { location: '/seats/12' }, body: 'c2VhdCAxMg==' };
 const TIMEOUT_MS = 2_000;
@@ -165,7 +165,7 @@
      * unknown, so a repeat gets may-have-run with a retry time and must never run.
      */
     it('refuses every repeat if the holder died before an outcome was written', async () => {
-      const platform = new UnsteadyPlatform(store, clock, new SeededRandom(9), STEADY);
+      const platform = new FaultyPlatform(store, clock, new SeededRandom(9), STEADY);
       (await acquireClaim(claimsOf('arima-1', platform))).start();
       platform.hasCrashed = true;
       const early = await answerTo(claimsOf('arima-1'));
@@ -216,7 +216,7 @@
       const runs = new Map<string, number>();
       const platforms = [1, 2, 3].map(
         (process) =>
-          new UnsteadyPlatform(store, clock, new SeededRandom(from + process), unsteadiness),
+          new FaultyPlatform(store, clock, new SeededRandom(from + process), unsteadiness),
       );
       const processes = platforms.map((platform, index) => claimsOf(`process-${index}`, platform));
       const perform = async ({ atMs, process, key, behaviour }: PlannedRequest) => {
--- a/src/test/daemon/stop_test.ts
+++ b/src/test/daemon/stop_test.ts
@@ -5,7 +5,7 @@
 import { ReleaseNote } from '../../contracts.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { Client } from '../../tool/client.js';
-import { ask } from '../requests/path.js';
+import { ask } from '../requests/test_path.js';
 
 const clock = new MachineClock();
 const LONG_MS = 10_000;
--- a/src/test/placement/answer_sizes_test.ts
+++ b/src/test/placement/answer_sizes_test.ts
@@ -4,7 +4,7 @@
 import { AnswerSizes } from '../../placement/answer_sizes.js';
 import { Clock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { memberOf } from '../requests/path.js';
+import { memberOf } from '../requests/test_path.js';
 
 class FixedClock extends Clock {
   now(): number {
--- a/src/test/placement/balancer_test.ts
+++ b/src/test/placement/balancer_test.ts
@@ -7,7 +7,7 @@
 import { type EndpointStats } from '../../placement/endpoint_stats.js';
 import { Clock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { memberOf } from '../requests/path.js';
+import { memberOf } from '../requests/test_path.js';
 
 const SEED = 11;
 /** Time between two requests, in milliseconds. */
--- a/src/test/platform/mesh_dialect_test.ts
+++ b/src/test/platform/mesh_dialect_test.ts
@@ -24,19 +24,19 @@
     };
     const meanings = Object.entries(cases).map(([name, answer]) => [
       name,
-      dialect.meaningOf(asked, answer),
+      dialect.classifyResponse(asked, answer),
     ]);
     expect(Object.fromEntries(meanings)).toMatchSnapshot();
   });
 
   it('sends the remaining time, the target instance and the caller’s service', () => {
-    expect(dialect.upstreamHeaders(730, 'i-1')).to.deep.equal([
+    expect(dialect.guardHeaders(730, 'i-1')).to.deep.equal([
       'barleyhaven-timeout-ms',
       '730',
       'barleyhaven-target-instance',
       'i-1',
     ]);
-    expect(dialect.originHeaders()).to.deep.equal(['barleyhaven-caller-service', 'listings']);
+    expect(dialect.entryHeaders()).to.deep.equal(['barleyhaven-caller-service', 'listings']);
     expect(dialect.callerTimeoutMs({ 'barleyhaven-timeout-ms': '2500' })).to.equal(2_500);
     expect(dialect.callerTimeoutMs({})).to.equal(undefined);
   });
@@ -45,9 +45,9 @@
     const headers = { 'barleyhaven-instance-id': 'i-1', 'barleyhaven-server-load': '3,0,18' };
     expect(dialect.identityOf(message(headers))).to.deep.equal({ id: 'i-1', slots: 18 });
     expect(dialect.identityOf(message(headers, 503))).to.equal(undefined);
-    expect(dialect.declines(message(headers, 503))).to.equal(true);
-    expect(dialect.declines(message({ 'barleyhaven-not-executed': '1' }, 503))).to.equal(false);
-    expect(dialect.declines(message(headers))).to.equal(false);
+    expect(dialect.refusesWork(message(headers, 503))).to.equal(true);
+    expect(dialect.refusesWork(message({ 'barleyhaven-not-executed': '1' }, 503))).to.equal(false);
+    expect(dialect.refusesWork(message(headers))).to.equal(false);
     expect(dialect.identityOf(message({ 'barleyhaven-instance-id': 'i-1' }))).to.equal(undefined);
   });
 
--- a/src/test/quarantine/flights_test.ts
+++ b/src/test/quarantine/crash_detector_test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { ask, type Answer } from '../../bench/caller.js';
 import { type Bulletin, type EndpointState } from '../../contracts.js';
-import { CrashDetector } from '../../quarantine/flights.js';
+import { CrashDetector } from '../../quarantine/crash_detector.js';
 import { Guard } from '../../requests/guard.js';
 import { Quarantine } from '../../quarantine/quarantine.js';
 import { MachineClock } from '../../runtime/clock.js';
--- a/src/test/quarantine/quarantine_test.ts
+++ b/src/test/quarantine/quarantine_test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import fc from 'fast-check';
 import { MAX_BULLETIN_ITEMS, OutcomeError } from '../../contracts.js';
-import { BulletinBroadcaster } from '../../quarantine/bulletins.js';
+import { BulletinBroadcaster } from '../../quarantine/bulletin_broadcaster.js';
 import {
   DEATH_RETENTION_MS,
   Quarantine,
--- a/src/test/requests/acknowledgement_test.ts
+++ b/src/test/requests/acknowledgement_test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { Ownership } from '../../runtime/ownership.js';
 import { listen, shut } from '../../standins/listen.js';
-import { memberOf, TestPath } from './path.js';
+import { memberOf, TestPath } from './test_path.js';
 
 /** An endpoint whose guard accepts requests and never responds, as behind a network partition. */
 async function addSilentEndpoint(path: TestPath, owned: Ownership): Promise<{ requests: number }> {
--- a/src/test/requests/attempts_test.ts
+++ b/src/test/requests/attempts_test.ts
@@ -5,7 +5,7 @@
 import { SingleClaims } from '../../claims/single_claims.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { PlatformStore } from '../../standins/platform_store.js';
-import { type Answer, TestPath } from './path.js';
+import { type Answer, TestPath } from './test_path.js';
 
 function summaryOf({ status, headers }: Answer) {
   const { 'barleyhaven-verdict': verdict, 'barleyhaven-reason': reason } = headers;
--- a/src/test/requests/hostility_test.ts
+++ b/src/test/requests/client_errors_test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { TestPath } from './path.js';
+import { TestPath } from './test_path.js';
 
 const HOST = 'Host: suppers.example\r\n';
 const POST = `POST /seats/1 HTTP/1.1\r\n${HOST}x-request: hostile\r\n`;
--- a/src/test/requests/presence_test.ts
+++ b/src/test/requests/disconnect_check_test.ts
@@ -1,10 +1,10 @@
 import { type ServerResponse } from 'node:http';
 import { expect } from 'chai';
 import { asOutcome } from '../../contracts.js';
-import { Presence } from '../../requests/presence.js';
+import { DisconnectCheck } from '../../requests/disconnect_check.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { headOf, disconnectWhileBlocked } from './held_callers.js';
-import { TestPath } from './path.js';
+import { headOf, disconnectWhileBlocked } from './disconnecting_callers.js';
+import { TestPath } from './test_path.js';
 
 const CALLERS = ['one', 'two', 'three', 'four', 'five'];
 const SETTLE_MS = 300;
@@ -25,7 +25,7 @@
   // Guards against slots that are idle during the check of a caller who was checked moments ago.
   it('starts a recently checked request at once, and checks again after a wait', async () => {
     const clock = new MachineClock();
-    const presence = new Presence(clock);
+    const presence = new DisconnectCheck(clock);
     const { socket, response } = caller();
     let isAtOnce = false;
     await presence.runIfConnected(response, async () => {
--- a/src/test/requests/entry_test.ts
+++ b/src/test/requests/entry_test.ts
@@ -5,7 +5,7 @@
 import { PROGRESS_TIMEOUT_MS } from '../../requests/exchange.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { type ConductName, conductOf } from '../../standins/upstream_conduct.js';
-import { type Answer, TestPath } from './path.js';
+import { type Answer, TestPath } from './test_path.js';
 
 /** The machine's clock, which can be moved forward. */
 class SkippingClock extends MachineClock {
@@ -186,7 +186,7 @@
       for (const { upstream } of path.endpoints) {
         upstream.conduct = conductOf('break');
         upstream.once('run', () => {
-          for (const { guard } of path.endpoints) guard.leave();
+          for (const { guard } of path.endpoints) guard.beginShutdown();
         });
       }
       const answer = await path.ask({ path: '/menus/1', headers: { 'x-request': 'a' } });
@@ -199,7 +199,7 @@
     it('resends a request that has not run to another endpoint, with its body', async () => {
       await using path = await TestPath.start(3);
       path.endpoints[0]!.guard.server.close();
-      path.endpoints[1]!.guard.leave();
+      path.endpoints[1]!.guard.beginShutdown();
       const headers = { 'x-request': 'a' };
       const answer = await path.ask({ path: '/seats', method: 'POST', headers, body: 'seat 12' });
       expect(summaryOf(answer)).toMatchSnapshot();
@@ -211,7 +211,8 @@
     it('detects an upstream instance that refuses connections', async () => {
       await using path = await TestPath.start(2);
       const refused: string[] = [];
-      for (const { name, guard } of path.endpoints) guard.onRefused = () => refused.push(name);
+      for (const { name, guard } of path.endpoints)
+        guard.onConnectionRefused = () => refused.push(name);
       await path.endpoints[0]!.upstream.crash();
       const ids = ['a', 'b', 'c', 'd', 'e', 'f'];
       const answers = await Promise.all(
@@ -226,7 +227,7 @@
     // before a guard requests it, so it can go to the other guard.
     it('resends an upload while no guard has requested its body', async () => {
       await using path = await TestPath.start(2);
-      path.endpoints[0]!.guard.leave();
+      path.endpoints[0]!.guard.beginShutdown();
       const body = Buffer.alloc(300_000, 'x');
       const asks = ['a', 'b', 'c'].map((id) =>
         path.ask({ path: '/seats', method: 'POST', headers: { 'x-request': id }, body }),
--- a/src/test/requests/exchange_test.ts
+++ b/src/test/requests/exchange_test.ts
@@ -2,7 +2,7 @@
 import { expect } from 'chai';
 import { type OutcomeError } from '../../contracts.js';
 import { EmptyBody } from '../../requests/body.js';
-import { ConnectionPool } from '../../requests/connections.js';
+import { ConnectionPool } from '../../requests/connection_pool.js';
 import { Exchange } from '../../requests/exchange.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { listen, LOOPBACK, shut } from '../../standins/listen.js';
--- a/src/test/requests/faults_test.ts
+++ b/src/test/requests/faults_test.ts
@@ -2,7 +2,7 @@
 import * as fc from 'fast-check';
 import { expect } from 'chai';
 import { type ConductName } from '../../standins/upstream_conduct.js';
-import { type Answer, TestPath } from './path.js';
+import { type Answer, TestPath } from './test_path.js';
 
 const SEED = 3;
 const RUNS = 25;
@@ -94,7 +94,7 @@
       const answers = Array.from({ length: 20 }, (_, index) =>
         path.ask({ path: '/seats', method: 'POST', headers: { 'x-request': `a${index}` } }),
       );
-      leaving.guard.leave();
+      leaving.guard.beginShutdown();
       const statuses = new Set((await Promise.all(answers)).map(({ status }) => status));
       expect(statuses).to.deep.equal(new Set([200]));
       leaving.upstream.on('run', (id: string) => late.push(id));
--- a/src/test/requests/unsteady_platform.ts
+++ b/src/test/requests/faulty_platform.ts
@@ -25,7 +25,7 @@
 const GIVE_UP_MS = 300;
 
 /** One process's access to the store: loses and delays calls, and fails all of them after a crash. */
-export class UnsteadyPlatform extends Platform {
+export class FaultyPlatform extends Platform {
   hasCrashed = false;
 
   constructor(
--- a/src/test/requests/paced_answer_test.ts
+++ b/src/test/requests/paced_response_test.ts
@@ -3,7 +3,7 @@
 import { expect } from 'chai';
 import { MachineClock } from '../../runtime/clock.js';
 import { LOOPBACK } from '../../standins/listen.js';
-import { TestPath } from './path.js';
+import { TestPath } from './test_path.js';
 
 /** Uplink rate: a megabyte takes a tenth of a second. */
 const KBPS = 80_000;
@@ -51,7 +51,7 @@
     socket.write('GET /menus/list HTTP/1.1\r\nhost: a\r\nx-bytes: 90000\r\n\r\n');
     await until(() => guard.load.leavingMs > 0);
     socket.destroy();
-    await until(() => guard.traffic.inFlight === 0 && guard.load.leavingMs < 500);
+    await until(() => guard.tracker.inFlight === 0 && guard.load.leavingMs < 500);
   });
 });
 
--- a/src/test/requests/traffic_test.ts
+++ b/src/test/requests/request_tracker_test.ts
@@ -1,7 +1,7 @@
 import { createServer, type ServerResponse } from 'node:http';
 import { type AddressInfo, connect } from 'node:net';
 import { expect } from 'chai';
-import { RequestTracker } from '../../requests/traffic.js';
+import { RequestTracker } from '../../requests/request_tracker.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { listen, LOOPBACK } from '../../standins/listen.js';
 
@@ -16,7 +16,7 @@
       responses.push(response);
     });
     const traffic = new RequestTracker(server, new MachineClock());
-    traffic.leave();
+    traffic.beginShutdown();
     await listen(server);
     const socket = connect((server.address() as AddressInfo).port, LOOPBACK);
     let received = '';
--- a/src/test/requests/returns_test.ts
+++ b/src/test/requests/returns_test.ts
@@ -2,7 +2,7 @@
 import { RequestLog } from '../../logs/request_log.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { MemoryLog } from '../logs/memory_log.js';
-import { TestPath } from './path.js';
+import { TestPath } from './test_path.js';
 
 /** Whether each request, in the order of their ends, was recognized as a retry. */
 function recognizedRetries({ events }: MemoryLog): boolean[] {
--- a/src/test/requests/rollout_test.ts
+++ b/src/test/requests/rollout_test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { Observer, type ObservedAnswer } from '../../rollout/observer.js';
-import { TestPath } from './path.js';
+import { TestPath } from './test_path.js';
 
 /** Records the results that a guard reports. */
 class RecordingObserver extends Observer {
@@ -25,7 +25,7 @@
     await using path = await TestPath.start(1);
     const { guard } = path.endpoints[0]!;
     const notes = new RecordingObserver();
-    guard.rollouts = notes;
+    guard.rolloutObserver = notes;
     await path.ask({ path: '/menus/1' });
     await path.ask({
       path: '/seats/1',
@@ -44,7 +44,7 @@
     const [shut] = path.endpoints;
     const notes = new RecordingObserver();
     notes.isShut = true;
-    shut!.guard.rollouts = notes;
+    shut!.guard.rolloutObserver = notes;
     for (let index = 0; index < 20; index++) {
       const { status } = await path.ask({ path: '/seats/1', method: 'POST', body: 'seat 12' });
       expect(status).to.equal(200);
--- a/src/test/requests/path.ts
+++ b/src/test/requests/test_path.ts
@@ -7,7 +7,7 @@
 import { Balancer } from '../../placement/balancer.js';
 import { Entry } from '../../requests/entry.js';
 import { Uplink } from '../../admission/uplink.js';
-import { OWN_DIALECT } from '../../requests/own_dialect.js';
+import { DEFAULT_DIALECT } from '../../requests/default_dialect.js';
 import { Guard } from '../../requests/guard.js';
 import { type Clock, MachineClock } from '../../runtime/clock.js';
 import { Ownership } from '../../runtime/ownership.js';
@@ -135,7 +135,7 @@
 
   async #add(name: string): Promise<void> {
     const guard = this.#owned.use(
-      new Guard(this.clock, OWN_DIALECT, new Uplink(this.clock, this.uplinkKbps)),
+      new Guard(this.clock, DEFAULT_DIALECT, new Uplink(this.clock, this.uplinkKbps)),
     );
     guard.configuration = () => this.configuration;
     const upstream = this.#owned.use(
