--- a/src/bench/deployment.ts
+++ b/src/bench/deployment.ts
@@ -4,7 +4,7 @@
 import { Configuration } from '../configuration/configuration.js';
 import { validate } from '../configuration/validate.js';
 import { type Clock } from '../runtime/clock.js';
-import { Ownership } from '../runtime/ownership.js';
+import { ResourceStack } from '../runtime/resource_stack.js';
 import { Client } from '../tool/client.js';
 import { BASELINE_HEAD, BASELINE_WHOLE } from './baseline.js';
 import { getJson } from './http.js';
@@ -42,7 +42,7 @@
 export abstract class Deployment implements AsyncDisposable {
   readonly proxies: Proxy[] = [];
 
-  protected readonly owned = new Ownership();
+  protected readonly owned = new ResourceStack();
 
   platform!: Program;
 
--- a/src/bench/fleet.ts
+++ b/src/bench/fleet.ts
@@ -5,7 +5,7 @@
 import { HttpPlatform } from '../platform/http_platform.js';
 import { type Clock } from '../runtime/clock.js';
 import { MachineRandom } from '../runtime/random.js';
-import { Ownership } from '../runtime/ownership.js';
+import { ResourceStack } from '../runtime/resource_stack.js';
 import { PlatformServer } from '../standins/platform_server.js';
 import { UpstreamServer } from '../standins/upstream_server.js';
 
@@ -30,11 +30,11 @@
   private constructor(
     readonly platform: PlatformServer,
     private readonly clock: Clock,
-    private readonly owned: Ownership,
+    private readonly owned: ResourceStack,
   ) {}
 
   static async start(clock: Clock, options: FleetOptions): Promise<Fleet> {
-    const owned = new Ownership();
+    const owned = new ResourceStack();
     const platform = owned.use(await PlatformServer.start(clock));
     const fleet = new Fleet(platform, clock, owned);
     for (const dataCentre of options.dataCentres) {
--- a/src/bench/mesh_fleet.ts
+++ b/src/bench/mesh_fleet.ts
@@ -6,7 +6,7 @@
 import { join } from 'node:path';
 import { fileURLToPath } from 'node:url';
 import { type Clock } from '../runtime/clock.js';
-import { Ownership } from '../runtime/ownership.js';
+import { ResourceStack } from '../runtime/resource_stack.js';
 import {
   callHeaders,
   type MeshMachine,
@@ -39,7 +39,7 @@
 
   readonly programs: Program[] = [];
 
-  readonly #owned = new Ownership();
+  readonly #owned = new ResourceStack();
 
   #store!: PlatformServer;
 
--- a/src/daemon/beliefs.ts
+++ b/src/daemon/beliefs.ts
@@ -19,7 +19,7 @@
   recordUpstream(control, log);
   recordDrains(control, log);
   recordPlatform(platform, log, clock);
-  control.gossip.onLate = (lateMs) => log.record('warn', { event: 'late', lateMs });
+  control.gossip.onLateWakeUp = (lateMs) => log.record('warn', { event: 'late', lateMs });
 }
 
 function recordConfiguration({ replica, readiness }: Control, log: Log): void {
@@ -44,7 +44,7 @@
 function recordMembers({ roster, ranking }: Control, log: Log): void {
   const known = new Map<string, Member>();
   let { isReader } = ranking;
-  roster.onNews((members) => {
+  roster.onUpdate((members) => {
     for (const member of members) {
       recordMember(known.get(member.instance), member, log);
       known.set(member.instance, member);
@@ -79,7 +79,7 @@
 
 function recordUpstream({ endpointLease }: Control, log: Log): void {
   let last = '';
-  endpointLease.onTaken(({ upstream, state, slots, id }) => {
+  endpointLease.onAnnouncement(({ upstream, state, slots, id }) => {
     const described = `${upstream} ${state} ${slots} ${id}`;
     if (described === last) return;
     last = described;
--- a/src/daemon/control.ts
+++ b/src/daemon/control.ts
@@ -195,7 +195,7 @@
    * earlier would be lost if this process crashed.
    */
   async kept(): Promise<void> {
-    await this.gossip.news.settle(
+    await this.gossip.dissemination.flush(
       this.dependencies.clock.now() + REPLICATION_TIMEOUT_MS,
       REQUIRED_REPLICAS,
     );
@@ -207,7 +207,7 @@
    */
   async leave(): Promise<void> {
     this.roster.leave();
-    await this.gossip.news.settle(this.dependencies.clock.now() + LEAVE_TIMEOUT_MS);
+    await this.gossip.dissemination.flush(this.dependencies.clock.now() + LEAVE_TIMEOUT_MS);
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
@@ -223,7 +223,7 @@
    */
   async #runReader(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.dependencies;
-    const { acquaintMs, rosterMs, isEager } = this.#pace;
+    const { joinTimeoutMs: acquaintMs, rosterWaitMs: rosterMs, isEager } = this.#pace;
     const deadline = clock.now() + acquaintMs + random.jitter(acquaintMs);
     const linked = new AbortController();
     this.mesh.onOpen(() => linked.abort());
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -135,9 +135,9 @@
     const balancer = new Balancer(this.roster, clock, random, this.rollouts?.roles);
     this.guard = ports.guard;
     this.guard.configuration = () => this.replica.current;
-    this.control.endpointLease.onTaken((announcement) => this.guard.announce(announcement));
+    this.control.endpointLease.onAnnouncement((announcement) => this.guard.announce(announcement));
     this.guard.rolloutObserver = this.rollouts;
-    this.guard.onConnectionRefused = () => this.control.endpointLease.refused();
+    this.guard.onConnectionRefused = () => this.control.endpointLease.connectionRefused();
     this.entry = new Entry(
       () => this.replica.current,
       () => this.control.readiness.isReady,
@@ -228,7 +228,7 @@
     this.log.record('info', { event: 'stopping' });
     await clock.sleepUntil(closeAt - this.settings.drainMs);
     this.guard.beginShutdown();
-    this.control.endpointLease.leave();
+    this.control.endpointLease.startDraining();
     await clock.sleepUntil(closeAt);
     this.entry.tracker.stopAccepting();
     await this.entry.tracker.waitUntilIdle(deadline);
@@ -291,9 +291,9 @@
       { ...upstreamAddress, path },
       dialect,
     );
-    if (isDeclined) endpointLease.doubt();
+    if (isDeclined) endpointLease.requireConfirmation();
     if (!identity || endpointLease.isKnown) return;
-    endpointLease.take({
+    endpointLease.renew({
       upstream: upstreamName,
       state: 'ready',
       ...upstreamAddress,
@@ -315,7 +315,7 @@
     const { orders: source, clock, random } = this.dependencies;
     if (!source) return undefined;
     const { roster, ranking, mesh, methods, endpointLease } = this.control;
-    endpointLease.tellsVersion = true;
+    endpointLease.publishesVersion = true;
     const { log } = this;
     const { rolloutShare: allowedShare } = this.settings;
     const parts = { roster, ranking, mesh, methods, clock, random, log, source, allowedShare };
--- a/src/daemon/operators_port.ts
+++ b/src/daemon/operators_port.ts
@@ -43,7 +43,7 @@
       }
       case '/announcement': {
         const announcement = Announcement.parse(JSON.parse(await readBody(request)));
-        this.instance.control.endpointLease.take(announcement);
+        this.instance.control.endpointLease.renew(announcement);
         respond(response, 200, {});
         return;
       }
@@ -63,7 +63,7 @@
         response.end(await this.#metrics.text());
         return;
       case '/endpoints':
-        respond(response, 200, { endpoints: this.instance.roster.endpoints });
+        respond(response, 200, { endpoints: this.instance.roster.readyEndpointCount });
         return;
       case '/configuration':
         respond(response, 200, this.instance.replica.snapshot());
--- a/src/distribution/distributor.ts
+++ b/src/distribution/distributor.ts
@@ -4,7 +4,7 @@
  */
 import { type Heartbeat, type Recall, type Recalled, type Version } from '../contracts.js';
 import { type Methods, notifyAll, type Peer } from '../link/peer.js';
-import { READERS, type Ranking } from '../membership/ranking.js';
+import { READERS_PER_DATA_CENTRE, type Ranking } from '../membership/ranking.js';
 import { type Roster } from '../membership/roster.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
@@ -81,7 +81,9 @@
   }
 
   #isReader({ member }: Peer): boolean {
-    const readers = member ? this.ranking.ranked(member.dataCentre).slice(0, READERS) : [];
+    const readers = member
+      ? this.ranking.ranked(member.dataCentre).slice(0, READERS_PER_DATA_CENTRE)
+      : [];
     return readers.some(({ instance }) => instance === member?.instance);
   }
 
--- a/src/distribution/mesh.ts
+++ b/src/distribution/mesh.ts
@@ -7,7 +7,7 @@
 import { type Methods, Peer } from '../link/peer.js';
 import { type Ranking } from '../membership/ranking.js';
 import { type Roster } from '../membership/roster.js';
-import { Upkeep } from '../membership/upkeep.js';
+import { LinkMaintenance } from '../membership/link_maintenance.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { TokenBucket } from '../runtime/token_bucket.js';
@@ -31,7 +31,7 @@
 
   readonly #acceptLimiter: TokenBucket;
 
-  readonly #upkeep: Upkeep;
+  readonly #upkeep: LinkMaintenance;
 
   readonly #stopping = new AbortController();
 
@@ -53,7 +53,7 @@
     // One listener per neighbour being dialled; Node.js logs a warning above ten by default.
     setMaxListeners(0, this.#stopping.signal);
     this.#acceptLimiter = new TokenBucket(clock, ACCEPTED_PER_SECOND, ACCEPT_BURST);
-    this.#upkeep = new Upkeep(this, roster, ranking, clock, random, this.#stopping.signal);
+    this.#upkeep = new LinkMaintenance(this, roster, ranking, clock, random, this.#stopping.signal);
     methods.on(HELLO, (peer, theirs) => {
       this.#handleHello(peer, theirs);
       return this.hello();
--- a/src/distribution/reader.ts
+++ b/src/distribution/reader.ts
@@ -65,7 +65,7 @@
   }
 
   async #follow(signal: AbortSignal): Promise<void> {
-    const deadline = this.clock.now() + this.pace.watchMs;
+    const deadline = this.clock.now() + this.pace.watchTimeoutMs;
     const isApplied = this.caughtUp
       ? await this.feed.follow(deadline, signal)
       : await this.feed.catchUp(deadline);
--- a/src/distribution/readiness.ts
+++ b/src/distribution/readiness.ts
@@ -52,7 +52,7 @@
     while (!signal.aborted) {
       minVersion ??= await this.#findMinVersion();
       if (minVersion !== undefined && this.replica.current.number >= minVersion) break;
-      const wait = this.random.jitter(this.pace.readinessMs);
+      const wait = this.random.jitter(this.pace.readinessCheckMs);
       await this.clock.sleepUntil(this.clock.now() + wait, signal);
     }
     if (signal.aborted) return;
--- a/src/distribution/remembered.ts
+++ b/src/distribution/remembered.ts
@@ -1,6 +1,6 @@
 /** The version last heard from each instance, kept beyond the end of its process. */
 import { type Member } from '../contracts.js';
-import { setLatest } from '../runtime/latest.js';
+import { setBounded } from '../runtime/bounded_map.js';
 
 interface Entry {
   /** Latest incarnation heard from. */
@@ -26,7 +26,7 @@
    */
   record({ instance, incarnation }: Member, version: number, isUpperBound: boolean): void {
     const entry = updatedEntry(this.#entries.get(instance), incarnation, version, isUpperBound);
-    setLatest(this.#entries, instance, entry, MAX_ENTRIES);
+    setBounded(this.#entries, instance, entry, MAX_ENTRIES);
   }
 
   /**
--- a/src/membership/announcement.ts
+++ b/src/membership/announcement.ts
@@ -20,7 +20,7 @@
 export type Announcement = z.infer<typeof Announcement>;
 
 /** One run of an upstream instance, identified by its id and start time. */
-export type Life = Pick<Drain, 'id' | 'born'>;
+export type InstanceRun = Pick<Drain, 'id' | 'born'>;
 
 /** Lease duration in milliseconds; upstreams announce several times within it. */
 export const DEFAULT_LEASE_MS = 3_000;
@@ -54,10 +54,10 @@
   #buffered: Announcement[] | undefined;
 
   /** Called with each drain, and whether it applies to the current run of the local endpoint. */
-  onDrain: (run: Life, isLocal: boolean) => void = () => {};
+  onDrain: (run: InstanceRun, isLocal: boolean) => void = () => {};
 
   /** Whether the version of the upstream is published; only rollouts need it. */
-  tellsVersion = false;
+  publishesVersion = false;
 
   readonly #listeners = new Set<(announcement: Announcement) => void>();
 
@@ -73,7 +73,7 @@
   }
 
   /** Calls `listener` with each accepted announcement, and with state `down` at a lease's end. */
-  onTaken(listener: (announcement: Announcement) => void): void {
+  onAnnouncement(listener: (announcement: Announcement) => void): void {
     this.#listeners.add(listener);
   }
 
@@ -82,7 +82,7 @@
    * later one, or until after the start of a new run at the same address, is ignored: it would
    * make a draining endpoint ready again.
    */
-  take(announcement: Announcement): void {
+  renew(announcement: Announcement): void {
     if (this.#buffered) {
       this.#buffered.push(announcement);
       return;
@@ -107,13 +107,13 @@
    * Publishes the endpoint as draining from now on, whatever is announced: the upstream instance
    * may still report itself ready while this process stops.
    */
-  leave(): void {
+  startDraining(): void {
     this.#isStopping = true;
     if (this.#last) this.#set(this.#last);
   }
 
   /** Drains an upstream instance that is leaving permanently, whatever that run announces later. */
-  depart(run: Life): void {
+  depart(run: InstanceRun): void {
     const last = this.#last;
     const born = run.born ?? (last?.id === run.id ? last.born : undefined);
     this.applyDrain({ id: run.id, ...(born !== undefined && { born }) });
@@ -136,7 +136,7 @@
    * previous process, and no other process may know. A single `ready` may be a delayed one; an
    * endpoint that does accept work soon sends the next.
    */
-  doubt(): void {
+  requireConfirmation(): void {
     this.#needsConfirmation = true;
     if (this.#last?.state === 'ready') this.#set({ ...this.#last, state: 'draining' });
   }
@@ -153,11 +153,11 @@
   release(): void {
     const buffered = this.#buffered ?? [];
     this.#buffered = undefined;
-    for (const announcement of buffered) this.take(announcement);
+    for (const announcement of buffered) this.renew(announcement);
   }
 
   /** Ends the lease immediately because a connection to the upstream instance was refused. */
-  refused(): void {
+  connectionRefused(): void {
     this.#refusedUntil = this.clock.now() + REFUSAL_HOLDOFF_MS;
     this.#end();
   }
@@ -188,7 +188,7 @@
     this.#last = announcement;
     for (const listener of this.#listeners) listener(announcement);
     const { upstream, slots } = announcement;
-    const version = this.tellsVersion ? announcement.version : undefined;
+    const version = this.publishesVersion ? announcement.version : undefined;
     const isDraining = this.#isStopping && announcement.state !== 'down';
     const state = isDraining ? 'draining' : announcement.state;
     const drain = this.#drainToPublish(announcement);
@@ -200,7 +200,7 @@
       published.version === version &&
       (published.drain === undefined) === (drain === undefined);
     if (isSame) return;
-    this.roster.announce({
+    this.roster.setEndpoint({
       upstream,
       state,
       slots,
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -7,7 +7,7 @@
 import { type Ranking } from './ranking.js';
 import { type Registration, registrationOf, Registrations, recordOf } from './registration.js';
 import { type Roster } from './roster.js';
-import { isGone } from './statement.js';
+import { isGone } from './member_record.js';
 
 const PREFIX = 'directory/';
 
--- a/src/membership/news.ts
+++ b/src/membership/dissemination.ts
@@ -6,7 +6,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { type Origin, type Roster } from './roster.js';
-import { isNewer } from './statement.js';
+import { isNewer } from './member_record.js';
 
 /**
  * Records are batched for this long, plus up to as much jitter, in milliseconds. Without jitter,
@@ -42,7 +42,7 @@
     private readonly random: Random,
     methods: Methods,
   ) {
-    roster.onNews((members, origin) => this.#enqueue(members, origin));
+    roster.onUpdate((members, origin) => this.#enqueue(members, origin));
     methods.on(GOSSIP, (peer, { members }) => this.#receive(peer, members));
   }
 
@@ -60,7 +60,7 @@
    * Sends the pending records; resolves when `minConfirmed` neighbours, or all of them, have
    * confirmed, or at the deadline.
    */
-  async settle(deadline: number, minConfirmed = Infinity): Promise<void> {
+  async flush(deadline: number, minConfirmed = Infinity): Promise<void> {
     const items = this.#takePending();
     let confirmed = 0;
     const isConfirmed = new AbortController();
--- a/src/membership/drains.ts
+++ b/src/membership/drains.ts
@@ -4,7 +4,7 @@
 import { DRAIN } from '../distribution/methods.js';
 import { type Methods, type Peer } from '../link/peer.js';
 import { type Clock } from '../runtime/clock.js';
-import { setLatest } from '../runtime/latest.js';
+import { setBounded } from '../runtime/bounded_map.js';
 import { type EndpointLease } from './announcement.js';
 import { type Roster } from './roster.js';
 
@@ -37,7 +37,7 @@
     methods: Methods,
   ) {
     lease.hold();
-    roster.onNews((members) => members.forEach((member) => this.#store(member)));
+    roster.onUpdate((members) => members.forEach((member) => this.#store(member)));
     mesh.onOpen((peer) => void this.#query(peer));
     methods.on(DRAIN, (_, { instance }) => {
       const drain = this.#drains.get(instance);
@@ -54,7 +54,7 @@
 
   #store({ instance, endpoint }: Member): void {
     if (!endpoint?.drain || instance === this.roster.self.instance) return;
-    setLatest(this.#drains, instance, endpoint.drain, MAX_DRAINS);
+    setBounded(this.#drains, instance, endpoint.drain, MAX_DRAINS);
   }
 
   async #query(peer: Peer): Promise<void> {
--- a/src/membership/gossip.ts
+++ b/src/membership/gossip.ts
@@ -5,7 +5,7 @@
 import { type Methods, notifyAll, type Peer } from '../link/peer.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { Dissemination } from './news.js';
+import { Dissemination } from './dissemination.js';
 import { Reconciliation } from './reconciliation.js';
 import { Retention } from './retention.js';
 import { type Roster } from './roster.js';
@@ -18,7 +18,7 @@
 const LATE_WAKE_UP_MS = 200;
 
 export class GossipTask {
-  readonly news: Dissemination;
+  readonly dissemination: Dissemination;
 
   readonly suspicions: Suspicions;
 
@@ -27,7 +27,7 @@
   readonly #retention: Retention;
 
   /** Called when this process wakes up much too late, with the delay in milliseconds. */
-  onLate: (lateMs: number) => void = () => {};
+  onLateWakeUp: (lateMs: number) => void = () => {};
 
   constructor(
     private readonly roster: Roster,
@@ -38,7 +38,7 @@
     private readonly heartbeatMs: number,
     methods: Methods,
   ) {
-    this.news = new Dissemination(roster, mesh, clock, random, methods);
+    this.dissemination = new Dissemination(roster, mesh, clock, random, methods);
     this.suspicions = new Suspicions(roster, clock);
     this.reconciliation = new Reconciliation(roster, mesh, clock, random, methods);
     this.#retention = new Retention(roster, clock);
@@ -57,7 +57,7 @@
       // After this process was paused, messages sent meanwhile are still unread, and all links look
       // silent. They are checked again one round later.
       const lateMs = Math.round(this.clock.now() - wakeAt);
-      if (lateMs > LATE_WAKE_UP_MS) this.onLate(lateMs);
+      if (lateMs > LATE_WAKE_UP_MS) this.onLateWakeUp(lateMs);
       wasPaused = lateMs > this.heartbeatMs;
     }
     await expiring;
--- a/src/membership/upkeep.ts
+++ b/src/membership/link_maintenance.ts
@@ -6,7 +6,7 @@
 import { type Random } from '../runtime/random.js';
 import { type Ranking } from './ranking.js';
 import { type Roster } from './roster.js';
-import { isGone } from './statement.js';
+import { isGone } from './member_record.js';
 
 /** First and highest cap of the jittered wait before dialling again, in milliseconds. */
 const INITIAL_REDIAL_CAP_MS = 500;
@@ -21,7 +21,7 @@
  * A closed link proves nothing about the far end: the link may have been a duplicate, silent or no
  * longer needed. Only a failed dial raises a suspicion.
  */
-export class Upkeep {
+export class LinkMaintenance {
   /** Instances for which a dialling task is running. */
   readonly #dialling = new Set<string>();
 
@@ -40,7 +40,7 @@
     private readonly random: Random,
     private readonly stopping: AbortSignal,
   ) {
-    roster.onNews(() => this.#dialMissing());
+    roster.onUpdate(() => this.#dialMissing());
     mesh.onOpen((peer) => this.#opened(peer));
     mesh.onClose(() => this.#dialMissing());
   }
--- a/src/membership/ranking.ts
+++ b/src/membership/ranking.ts
@@ -4,7 +4,7 @@
 import { type Roster } from './roster.js';
 
 /** Number of processes of a data centre that watch the platform. */
-export const READERS = 2;
+export const READERS_PER_DATA_CENTRE = 2;
 /** Number of next members on the ring to which a process keeps a link. */
 const SUCCESSORS = 2;
 /** Maximum number of ring members that one process dials, however many are suspects. */
@@ -56,13 +56,16 @@
 
   get isReader(): boolean {
     const rank = this.#ownRank;
-    return rank >= 0 && rank < READERS;
+    return rank >= 0 && rank < READERS_PER_DATA_CENTRE;
   }
 
   /** Index of this process among the readers of all data centres; -1 if it is no reader. */
-  get readerPlace(): number {
+  get readerIndex(): number {
     if (!this.isReader) return -1;
-    return this.dataCentres().indexOf(this.roster.self.dataCentre) * READERS + this.#ownRank;
+    return (
+      this.dataCentres().indexOf(this.roster.self.dataCentre) * READERS_PER_DATA_CENTRE +
+      this.#ownRank
+    );
   }
 
   get isRoot(): boolean {
@@ -70,7 +73,7 @@
   }
 
   /** Whether this process does the tasks that a single process does for the whole fleet. */
-  get isFirst(): boolean {
+  get isLeader(): boolean {
     return this.isRoot && this.dataCentres()[0] === this.roster.self.dataCentre;
   }
 
@@ -126,7 +129,7 @@
     if (rank > 0) wanted.add(members[Math.floor((rank - 1) / this.fanout)]!);
     const ring = [...members.slice(rank + 1), ...members.slice(0, rank)];
     for (const successor of monitored(ring, SUCCESSORS)) wanted.add(successor);
-    if (rank < READERS) {
+    if (rank < READERS_PER_DATA_CENTRE) {
       for (const [dataCentre, group] of this.#groups) {
         if (dataCentre === member.dataCentre) continue;
         for (const root of monitored(group.members, 1)) wanted.add(root);
--- a/src/membership/reconciliation.ts
+++ b/src/membership/reconciliation.ts
@@ -7,7 +7,7 @@
 import { type Random } from '../runtime/random.js';
 import { TokenBucket } from '../runtime/token_bucket.js';
 import { type Roster } from './roster.js';
-import { isGone } from './statement.js';
+import { isGone } from './member_record.js';
 
 /** Differing heartbeats until the dialling end reconciles; the other end waits twice as long. */
 const DIFFERING_HEARTBEATS = 2;
--- a/src/membership/retention.ts
+++ b/src/membership/retention.ts
@@ -2,7 +2,7 @@
 import { type Member } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Roster } from './roster.js';
-import { isGone } from './statement.js';
+import { isGone } from './member_record.js';
 
 /**
  * Retention period of dead and departed members, in milliseconds. Records that show them alive come
@@ -21,7 +21,7 @@
     private readonly roster: Roster,
     private readonly clock: Clock,
   ) {
-    roster.onNews((members) => members.forEach((member) => this.#update(member)));
+    roster.onUpdate((members) => members.forEach((member) => this.#update(member)));
   }
 
   /** Removes expired members, and the oldest beyond `MAX_RETAINED`. */
--- a/src/membership/roster.ts
+++ b/src/membership/roster.ts
@@ -1,7 +1,7 @@
 /** The members known to one process. */
 import { type Endpoint, type Liveness, type Member } from '../contracts.js';
 import { RosterDigest } from './roster_digest.js';
-import { isGone, isNewer } from './statement.js';
+import { isGone, isNewer } from './member_record.js';
 
 /** Where records came from. */
 export interface Origin {
@@ -88,12 +88,12 @@
   }
 
   /** Number of live members whose endpoint is ready. */
-  get endpoints(): number {
+  get readyEndpointCount(): number {
     return this.live().filter((member) => member.endpoint?.state === 'ready').length;
   }
 
   /** Calls `listener` with the records that changed, after each update. */
-  onNews(listener: UpdateListener): void {
+  onUpdate(listener: UpdateListener): void {
     this.#listeners.add(listener);
   }
 
@@ -123,7 +123,7 @@
   }
 
   /** Publishes the local endpoint. */
-  announce(endpoint: Endpoint | undefined): void {
+  setEndpoint(endpoint: Endpoint | undefined): void {
     this.#updateSelf({ ...this.#self, endpoint, sequence: this.#self.sequence + 1 });
   }
 
--- a/src/membership/roster_digest.ts
+++ b/src/membership/roster_digest.ts
@@ -1,7 +1,7 @@
 /** Incremental hashes over the records of a roster. */
 import { createHash } from 'node:crypto';
 import { type Member } from '../contracts.js';
-import { hashOf, isGone } from './statement.js';
+import { hashOf, isGone } from './member_record.js';
 
 /** Number of buckets into which rosters are divided for comparison. */
 export const BUCKETS = 64;
--- a/src/membership/suspicions.ts
+++ b/src/membership/suspicions.ts
@@ -25,7 +25,7 @@
     private readonly roster: Roster,
     private readonly clock: Clock,
   ) {
-    roster.onNews((members) => members.forEach((member) => this.#update(member)));
+    roster.onUpdate((members) => members.forEach((member) => this.#update(member)));
   }
 
   /** Number of suspicions received or raised by this process. */
--- a/src/platform/endpoint_reports.ts
+++ b/src/platform/endpoint_reports.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { text } from 'node:stream/consumers';
 import * as z from 'zod';
-import { type Announcement, type Life } from '../membership/announcement.js';
+import { type Announcement, type InstanceRun } from '../membership/announcement.js';
 import { Duration, HostPort } from './wire.js';
 
 const Report = z.object({
@@ -22,7 +22,7 @@
 /** Receives valid reports. */
 export interface ReportHandler {
   take(announcement: Announcement): void;
-  depart(life: Life): void;
+  depart(life: InstanceRun): void;
   /** Resolves when neighbours hold the last report, so that it survives the end of this process. */
   kept(): Promise<void>;
 }
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -77,7 +77,7 @@
   if (listen.control) {
     const { control } = instance;
     const reports = createReportServer(() => service, {
-      take: (announcement) => control.endpointLease.take(announcement),
+      take: (announcement) => control.endpointLease.renew(announcement),
       depart: (life) => control.endpointLease.depart(life),
       kept: () => control.kept(),
     });
--- a/src/requests/safeguards.ts
+++ b/src/requests/safeguards.ts
@@ -44,7 +44,7 @@
     const { platform, clock, random, mesh, methods, ranking } = dependencies;
     const store = new SingleClaims(platform, clock, random);
     this.claims = new Claims(store, instance, clock, random);
-    this.sweep = new ClaimSweep(platform, () => ranking.isFirst, clock);
+    this.sweep = new ClaimSweep(platform, () => ranking.isLeader, clock);
     this.#broadcaster = new BulletinBroadcaster(mesh, methods, clock, random);
   }
 
--- a/src/rollout/order_reader.ts
+++ b/src/rollout/order_reader.ts
@@ -130,7 +130,7 @@
     }
     const since = this.#dueSince.get(upstream) ?? now;
     this.#dueSince.set(upstream, since);
-    if (now - since < this.ranking.readerPlace * READER_DELAY_MS) return;
+    if (now - since < this.ranking.readerIndex * READER_DELAY_MS) return;
     const isWritten = await this.source.writeOutcome(rollout, now + CALL_MS);
     // Reads what another reader wrote, or an earlier write of this process whose answer was lost.
     if (!isWritten) this.#merge(await this.source.list(this.clock.now() + CALL_MS));
--- a/src/rollout/rollout_roles.ts
+++ b/src/rollout/rollout_roles.ts
@@ -35,7 +35,7 @@
     private readonly allowedShare: number,
   ) {
     super();
-    roster.onNews((members) => {
+    roster.onUpdate((members) => {
       for (const { endpoint } of members) {
         if (endpoint?.version !== undefined)
           this.#recordVersion(endpoint.upstream, endpoint.version);
--- a/src/runtime/latest.ts
+++ b/src/runtime/bounded_map.ts
@@ -1,7 +1,7 @@
 /** Maps of bounded size. */
 
 /** Sets an entry; beyond `maxSize` entries, deletes the least recently set one. */
-export function setLatest<Key, Value>(
+export function setBounded<Key, Value>(
   map: Map<Key, Value>,
   key: Key,
   value: Value,
--- a/src/runtime/ownership.ts
+++ b/src/runtime/resource_stack.ts
@@ -1,5 +1,5 @@
 /** Disposes of resources in reverse order, like `AsyncDisposableStack`, which Node 20 lacks. */
-export class Ownership implements AsyncDisposable {
+export class ResourceStack implements AsyncDisposable {
   readonly #resources: AsyncDisposable[] = [];
 
   use<T extends AsyncDisposable>(resource: T): T {
--- a/src/test/claims/once_test.ts
+++ b/src/test/claims/once_test.ts
@@ -7,7 +7,7 @@
 import { MAX_OUTCOME_BODY_BYTES } from '../../claims/outcome.js';
 import { SingleClaims } from '../../claims/single_claims.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { Ownership } from '../../runtime/ownership.js';
+import { ResourceStack } from '../../runtime/resource_stack.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { listen, LOOPBACK, shut } from '../../standins/listen.js';
 import { PlatformStore } from '../../standins/platform_store.js';
@@ -15,7 +15,7 @@
 const clock = new MachineClock();
 
 describe('a request with a key at the guard', () => {
-  let owned: Ownership;
+  let owned: ResourceStack;
   let store: PlatformStore;
   let upstream: Server;
   let upstreamPort: number;
@@ -23,7 +23,7 @@
   let answerBytes: number;
 
   beforeEach(async () => {
-    owned = new Ownership();
+    owned = new ResourceStack();
     store = new PlatformStore(clock);
     bodies = [];
     answerBytes = 10;
--- a/src/test/membership/announcement_test.ts
+++ b/src/test/membership/announcement_test.ts
@@ -21,7 +21,7 @@
   const time = new FakeTime();
   const roster = new Roster(memberOf('a'));
   const states: string[] = [];
-  roster.onNews(() => states.push(roster.self.endpoint!.state));
+  roster.onUpdate(() => states.push(roster.self.endpoint!.state));
   const lease = new EndpointLease(roster, time.clock);
   const stopping = new AbortController();
   void lease.run(stopping.signal);
@@ -36,7 +36,7 @@
   it('publishes only changes, each of them immediately', async () => {
     using world = setUp();
     for (const state of ['cold', 'cold', 'ready', 'ready', 'draining', 'draining'] as const) {
-      world.lease.take({ ...READY, state });
+      world.lease.renew({ ...READY, state });
       await world.time.advance(500);
     }
     expect(world.states).to.eql(['cold', 'ready', 'draining']);
@@ -47,12 +47,12 @@
   // announce that it is down.
   it('publishes the endpoint as down when announcements stop', async () => {
     using world = setUp();
-    world.lease.take(READY);
+    world.lease.renew(READY);
     await world.time.advance(DEFAULT_LEASE_MS - 500);
     expect(world.states).to.eql(['ready']);
     await world.time.advance(1_000);
     expect(world.states).to.eql(['ready', 'down']);
-    world.lease.take(READY);
+    world.lease.renew(READY);
     expect(world.states).to.eql(['ready', 'down', 'ready']);
   });
 
@@ -60,12 +60,12 @@
   // crashing upstream still sends.
   it('publishes a refusing endpoint as down immediately and for a limited time', async () => {
     using world = setUp();
-    world.lease.take(READY);
-    world.lease.refused();
-    world.lease.take(READY);
+    world.lease.renew(READY);
+    world.lease.connectionRefused();
+    world.lease.renew(READY);
     expect(world.states).to.eql(['ready', 'down']);
     await world.time.advance(REFUSAL_HOLDOFF_MS);
-    world.lease.take(READY);
+    world.lease.renew(READY);
     expect(world.states).to.eql(['ready', 'down', 'ready']);
   });
 
@@ -74,9 +74,9 @@
   it('ignores an announcement that arrives after a later one', () => {
     using world = setUp();
     const draining = { ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 5 } as const;
-    world.lease.take(draining);
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 4 });
-    world.lease.take({ ...READY, id: 'i-0', born: 9, sequence: 90 });
+    world.lease.renew(draining);
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 4 });
+    world.lease.renew({ ...READY, id: 'i-0', born: 9, sequence: 90 });
     expect(world.states).to.eql(['draining']);
   });
 
@@ -84,8 +84,8 @@
   // below that of the previous run.
   it('accepts a new run of the same instance', () => {
     using world = setUp();
-    world.lease.take({ ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 50 });
-    world.lease.take({ ...READY, id: 'i-1', born: 11, sequence: 1 });
+    world.lease.renew({ ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 50 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 11, sequence: 1 });
     expect(world.states).to.eql(['draining', 'ready']);
   });
 
@@ -93,12 +93,12 @@
   // are leaving, and go on serving and announcing for a while.
   it('drains an instance that has announced that it is leaving', async () => {
     using world = setUp();
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 1 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 1 });
     world.lease.depart({ id: 'i-1', born: 10 });
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 2 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 2 });
     await world.time.advance(3 * DEFAULT_LEASE_MS);
     expect(world.states).to.eql(['ready', 'draining']);
-    world.lease.take({ ...READY, id: 'i-1', born: 11, sequence: 1 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 11, sequence: 1 });
     expect(world.states).to.eql(['ready', 'draining', 'ready']);
   });
 
@@ -106,9 +106,9 @@
   // by its health check, which does not report its start time.
   it('drains a leaving instance that was known only from its health check', async () => {
     using world = setUp();
-    world.lease.take({ ...READY, id: 'i-1' });
+    world.lease.renew({ ...READY, id: 'i-1' });
     world.lease.depart({ id: 'i-1', born: 10 });
-    world.lease.take({ ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 9 });
+    world.lease.renew({ ...READY, state: 'draining', id: 'i-1', born: 10, sequence: 9 });
     await world.time.advance(3 * DEFAULT_LEASE_MS);
     expect(world.states).to.eql(['ready', 'draining']);
   });
@@ -116,11 +116,11 @@
   // Guards against a drain without a start time that the next announcement of the same run ends.
   it('drains a leaving instance that does not report its start time', () => {
     using world = setUp();
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 1 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 1 });
     world.lease.depart({ id: 'i-1' });
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 2 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 2 });
     expect(world.states).to.eql(['ready', 'draining']);
-    world.lease.take({ ...READY, id: 'i-1', born: 11, sequence: 1 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 11, sequence: 1 });
     expect(world.states).to.eql(['ready', 'draining', 'ready']);
   });
 
@@ -128,27 +128,27 @@
   // neighbours have died: no process is left that knows of the drain.
   it('requires two ready announcements after a failed health check', () => {
     using world = setUp();
-    world.lease.doubt();
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 3 });
+    world.lease.requireConfirmation();
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 3 });
     expect(world.states).to.eql(['draining']);
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 3 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 3 });
     expect(world.states).to.eql(['draining']);
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 7 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 7 });
     expect(world.states).to.eql(['draining', 'ready']);
   });
 
   it('withdraws a ready announcement when the health check fails right after it', () => {
     using world = setUp();
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 3 });
-    world.lease.doubt();
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 3 });
+    world.lease.requireConfirmation();
     expect(world.states).to.eql(['ready', 'draining']);
-    world.lease.take({ ...READY, id: 'i-1', born: 10, sequence: 4 });
+    world.lease.renew({ ...READY, id: 'i-1', born: 10, sequence: 4 });
     expect(world.states).to.eql(['ready', 'draining', 'ready']);
   });
 
   it('ignores the departure of another instance', () => {
     using world = setUp();
-    world.lease.take({ ...READY, id: 'i-2', born: 10, sequence: 1 });
+    world.lease.renew({ ...READY, id: 'i-2', born: 10, sequence: 1 });
     world.lease.depart({ id: 'i-1', born: 9 });
     expect(world.states).to.eql(['ready']);
   });
--- a/src/test/membership/directory_test.ts
+++ b/src/test/membership/directory_test.ts
@@ -58,7 +58,7 @@
     await world.time.advance(CYCLES_MS);
     const { writes } = world.platform.calls;
     expect(writes).to.equal(1);
-    roster.announce({ upstream: 'listings', state: 'ready', slots: 20 });
+    roster.setEndpoint({ upstream: 'listings', state: 'ready', slots: 20 });
     await world.time.advance(CYCLES_MS);
     expect(world.platform.calls.writes).to.equal(writes);
     const stored = await world.platform.get(KEY, world.time.clock.now() + 1);
--- a/src/test/membership/drains_test.ts
+++ b/src/test/membership/drains_test.ts
@@ -32,17 +32,17 @@
   it('apply to the successor of the process that received them', async () => {
     await using fleet = await start();
     const [{ name, host, control }] = fleet.alive as [(typeof fleet.alive)[0]];
-    control.endpointLease.take(READY);
+    control.endpointLease.renew(READY);
     control.endpointLease.depart({ id: 'i-1', born: 10 });
     await fleet.time.advance(GOSSIP_MS);
     fleet.kill(name);
     const successor = fleet.launch(name, host.dataCentre).control.endpointLease;
     // A wrong answer of a health check, and a delayed announcement.
-    successor.take({ ...READY, born: undefined, sequence: undefined });
-    successor.take({ ...READY, sequence: 3 });
+    successor.renew({ ...READY, born: undefined, sequence: undefined });
+    successor.renew({ ...READY, sequence: 3 });
     await fleet.time.advance(START_MS);
     expect(endpointStates(fleet, name)).to.not.include('ready');
-    successor.take({ ...READY, born: 11, sequence: 1 });
+    successor.renew({ ...READY, born: 11, sequence: 1 });
     await fleet.time.advance(GOSSIP_MS);
     expect(endpointStates(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
   });
@@ -51,14 +51,14 @@
   it('apply until the endpoint announces a later state', async () => {
     await using fleet = await start();
     const [{ name, host, control }] = fleet.alive as [(typeof fleet.alive)[0]];
-    control.endpointLease.take({ ...READY, state: 'draining' });
+    control.endpointLease.renew({ ...READY, state: 'draining' });
     await fleet.time.advance(GOSSIP_MS);
     fleet.kill(name, 'silent');
     const successor = fleet.launch(name, host.dataCentre).control.endpointLease;
-    successor.take({ ...READY, sequence: 3 });
+    successor.renew({ ...READY, sequence: 3 });
     await fleet.time.advance(START_MS);
     expect(endpointStates(fleet, name)).to.not.include('ready');
-    successor.take({ ...READY, sequence: 5 });
+    successor.renew({ ...READY, sequence: 5 });
     await fleet.time.advance(GOSSIP_MS);
     expect(endpointStates(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
   });
@@ -69,12 +69,12 @@
     await using fleet = await start();
     const [{ name, host, control }] = fleet.alive as [(typeof fleet.alive)[0]];
     const unordered = { ...READY, born: undefined, sequence: undefined };
-    control.endpointLease.take({ ...unordered, state: 'draining' });
+    control.endpointLease.renew({ ...unordered, state: 'draining' });
     await fleet.time.advance(GOSSIP_MS);
     fleet.kill(name);
     const successor = fleet.launch(name, host.dataCentre).control.endpointLease;
     await fleet.time.advance(START_MS);
-    successor.take(unordered);
+    successor.renew(unordered);
     await fleet.time.advance(GOSSIP_MS);
     expect(endpointStates(fleet, name)).to.deep.equal(['ready', 'ready', 'ready']);
   });
@@ -83,7 +83,7 @@
   it('do not hold up announcements of a process without neighbours', async () => {
     await using fleet = await TestFleet.start({ sizes: { arima: 1 }, pace: PROMPT });
     const [{ control }] = fleet.alive as [(typeof fleet.alive)[0]];
-    control.endpointLease.take(READY);
+    control.endpointLease.renew(READY);
     expect(control.roster.self.endpoint?.state).to.equal('ready');
   });
 });
--- a/src/test/membership/fleet.ts
+++ b/src/test/membership/fleet.ts
@@ -93,7 +93,7 @@
   /** Shuts down gracefully. */
   async stop(): Promise<void> {
     this.roster.leave();
-    await this.gossip.news.settle(this.fleet.clock.now() + HEARTBEAT_MS);
+    await this.gossip.dissemination.flush(this.fleet.clock.now() + HEARTBEAT_MS);
     await this.kill();
   }
 }
--- a/src/test/membership/gossip_test.ts
+++ b/src/test/membership/gossip_test.ts
@@ -31,7 +31,7 @@
       await using fleet = await settledFleet(size);
       const before = fleet.codec.traffic('gossip');
       const [changed] = fleet.nodes;
-      changed!.roster.announce({ upstream: 'listings', state: 'draining', slots: 20 });
+      changed!.roster.setEndpoint({ upstream: 'listings', state: 'draining', slots: 20 });
       const isKnown = () =>
         fleet.nodes.every(
           ({ roster }) => roster.get(changed!.instance)?.endpoint?.state === 'draining',
@@ -61,9 +61,9 @@
     fleet.startMany(60, ['arima', 'couva', 'siparia']);
     await fleet.until(() => fleet.agrees(60), JOIN_MS);
     fleet.nodes.forEach(({ roster }) =>
-      roster.announce({ upstream: 'listings', state: 'ready', slots: 13 }),
+      roster.setEndpoint({ upstream: 'listings', state: 'ready', slots: 13 }),
     );
-    const isKnown = () => fleet.nodes.every(({ roster }) => roster.endpoints === 60);
+    const isKnown = () => fleet.nodes.every(({ roster }) => roster.readyEndpointCount === 60);
     const tookMs = await fleet.until(isKnown, JOIN_MS, 10);
     const messagesPerProcess = fleet.codec.traffic('gossip').messages / 60;
     expect(tookMs).to.be.below(1_000);
--- a/src/test/membership/statement_test.ts
+++ b/src/test/membership/member_record_test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { type Member } from '../../contracts.js';
-import { hashOf } from '../../membership/statement.js';
+import { hashOf } from '../../membership/member_record.js';
 import { memberOf } from './member.js';
 
 const ENDPOINT = { upstream: 'listings', state: 'ready', slots: 13 } as const;
--- a/src/test/platform/object_feed_test.ts
+++ b/src/test/platform/object_feed_test.ts
@@ -3,7 +3,7 @@
 import { HttpPlatform } from '../../platform/http_platform.js';
 import { ObjectFeed } from '../../platform/object_feed.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { Ownership } from '../../runtime/ownership.js';
+import { ResourceStack } from '../../runtime/resource_stack.js';
 import { PlatformServer } from '../../standins/platform_server.js';
 
 const KEY = 'config/main';
@@ -33,7 +33,7 @@
 class Fixture implements AsyncDisposable {
   readonly clock = new MachineClock();
 
-  readonly #owned = new Ownership();
+  readonly #owned = new ResourceStack();
 
   private constructor(readonly server: PlatformServer) {
     this.#owned.use(server);
--- a/src/test/platform/object_orders_test.ts
+++ b/src/test/platform/object_orders_test.ts
@@ -2,7 +2,7 @@
 import { HttpPlatform } from '../../platform/http_platform.js';
 import { ObjectOrders } from '../../platform/object_orders.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { Ownership } from '../../runtime/ownership.js';
+import { ResourceStack } from '../../runtime/resource_stack.js';
 import { PlatformServer } from '../../standins/platform_server.js';
 
 const KEY = 'rollouts/listings';
@@ -12,7 +12,7 @@
 class Fixture implements AsyncDisposable {
   readonly clock = new MachineClock();
 
-  readonly #owned = new Ownership();
+  readonly #owned = new ResourceStack();
 
   private constructor(readonly server: PlatformServer) {
     this.#owned.use(server);
--- a/src/test/quarantine/crash_detector_test.ts
+++ b/src/test/quarantine/crash_detector_test.ts
@@ -6,7 +6,7 @@
 import { Guard } from '../../requests/guard.js';
 import { Quarantine } from '../../quarantine/quarantine.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { Ownership } from '../../runtime/ownership.js';
+import { ResourceStack } from '../../runtime/resource_stack.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { listen, LOOPBACK, shut } from '../../standins/listen.js';
 
@@ -24,13 +24,13 @@
 }
 
 describe('CrashDetector', () => {
-  let owned: Ownership;
+  let owned: ResourceStack;
   let guards: GuardedUpstream[];
   let published: (() => void) | undefined;
   let beforeDeath: () => void;
 
   beforeEach(() => {
-    owned = new Ownership();
+    owned = new ResourceStack();
     guards = [];
     beforeDeath = () => {};
   });
--- a/src/test/requests/acknowledgement_test.ts
+++ b/src/test/requests/acknowledgement_test.ts
@@ -1,11 +1,14 @@
 import { createServer } from 'node:http';
 import { expect } from 'chai';
-import { Ownership } from '../../runtime/ownership.js';
+import { ResourceStack } from '../../runtime/resource_stack.js';
 import { listen, shut } from '../../standins/listen.js';
 import { memberOf, TestPath } from './test_path.js';
 
 /** An endpoint whose guard accepts requests and never responds, as behind a network partition. */
-async function addSilentEndpoint(path: TestPath, owned: Ownership): Promise<{ requests: number }> {
+async function addSilentEndpoint(
+  path: TestPath,
+  owned: ResourceStack,
+): Promise<{ requests: number }> {
   const seen = { requests: 0 };
   const server = createServer(() => {
     seen.requests += 1;
@@ -26,7 +29,7 @@
   // Guards against a repeatable request waiting until its deadline for a guard that has gone silent
   // while another one could serve it.
   it('fails a repeatable request over to another guard when one does not acknowledge it', async () => {
-    await using owned = new Ownership();
+    await using owned = new ResourceStack();
     await using path = await TestPath.start(1);
     const seen = await addSilentEndpoint(path, owned);
     while (seen.requests === 0) {
@@ -38,7 +41,7 @@
   // Guards against a 502 for a request whose only guard is slow: without an alternative, it must wait
   // until its deadline.
   it('waits until the deadline for an unresponsive guard when there is no other', async () => {
-    await using owned = new Ownership();
+    await using owned = new ResourceStack();
     await using path = await TestPath.start(0);
     await addSilentEndpoint(path, owned);
     const startedAt = path.clock.now();
@@ -48,7 +51,7 @@
 
   // Guards against a booking that runs twice: the silent guard may have started it.
   it('does not resend a non-repeatable request that was not acknowledged', async () => {
-    await using owned = new Ownership();
+    await using owned = new ResourceStack();
     await using path = await TestPath.start(1);
     const seen = await addSilentEndpoint(path, owned);
     const headers = { 'x-request': 'booking', 'request-timeout-ms': '600' };
--- a/src/test/requests/test_path.ts
+++ b/src/test/requests/test_path.ts
@@ -10,7 +10,7 @@
 import { DEFAULT_DIALECT } from '../../requests/default_dialect.js';
 import { Guard } from '../../requests/guard.js';
 import { type Clock, MachineClock } from '../../runtime/clock.js';
-import { Ownership } from '../../runtime/ownership.js';
+import { ResourceStack } from '../../runtime/resource_stack.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { listen, LOOPBACK } from '../../standins/listen.js';
 import { UpstreamServer } from '../../standins/upstream_server.js';
@@ -65,7 +65,7 @@
 
   #port = 0;
 
-  readonly #owned = new Ownership();
+  readonly #owned = new ResourceStack();
 
   private constructor(
     readonly clock: Clock,
--- a/src/test/rollout/rollout_fleet.ts
+++ b/src/test/rollout/rollout_fleet.ts
@@ -93,7 +93,7 @@
   announce(name: string, version: string): void {
     this.#versions.set(name, version);
     const { control } = this.fleet.nodes.get(name)!;
-    control.roster.announce({ upstream: UPSTREAM, state: 'ready', slots: SLOTS, version });
+    control.roster.setEndpoint({ upstream: UPSTREAM, state: 'ready', slots: SLOTS, version });
   }
 
   kill(name: string): void {
--- a/src/test/ships_test.ts
+++ b/src/test/ships_test.ts
@@ -6,7 +6,7 @@
 import { createInterface } from 'node:readline';
 import { promisify } from 'node:util';
 import { expect } from 'chai';
-import { Ownership } from '../runtime/ownership.js';
+import { ResourceStack } from '../runtime/resource_stack.js';
 
 const run = promisify(execFile);
 const INSTALL_MS = 180_000;
@@ -58,7 +58,7 @@
   });
 
   /** Starts a platform and one installed instance; resolves to the ports of the instance. */
-  const startDeployment = async (owned: Ownership): Promise<Ports> => {
+  const startDeployment = async (owned: ResourceStack): Promise<Ports> => {
     const platform = await start(owned, 'dist/bench/platform_main.js', [], () => true);
     const flags = {
       instance: 'arima-1',
@@ -89,7 +89,7 @@
 
   // Guards against a README whose example release note or command does not work.
   it('puts the first release note in force', async () => {
-    await using owned = new Ownership();
+    await using owned = new ResourceStack();
     const { operatorsPort } = await startDeployment(owned);
     const to = ['--to', `127.0.0.1:${operatorsPort}`];
     await run(command('barleyhaven'), ['submit', await writeNotes(), ...to]);
@@ -101,7 +101,7 @@
   // Guards against an operators' page that differs from the tool: the first line of output, apart from
   // timestamps, and the exit code of each command must match. The page's port is replaced.
   it("runs the commands of the operators' page with the documented results", async () => {
-    await using owned = new Ownership();
+    await using owned = new ResourceStack();
     const { operatorsPort } = await startDeployment(owned);
     await writeNotes();
     const to = `127.0.0.1:${operatorsPort}`;
@@ -165,7 +165,7 @@
 
 /** Starts a program and resolves to the first line of output for which `isReady` holds. */
 async function start(
-  owned: Ownership,
+  owned: ResourceStack,
   file: string,
   args: readonly string[],
   isReady: (line: Ports) => boolean,
