--- a/src/bench/deployment.ts
+++ b/src/bench/deployment.ts
@@ -149,7 +149,7 @@
     const configuration = Configuration.of(number, digest, resources);
     return {
       number,
-      whole: configuration.matches(parent),
+      whole: configuration.matchesDigest(parent),
       closed: validate(configuration).length === 0,
     };
   }
--- a/src/configuration/configuration.ts
+++ b/src/configuration/configuration.ts
@@ -73,7 +73,7 @@
   /**
    * Derived data under that name of this version, or else of the last earlier version that had it.
    */
-  earlier(name: symbol): unknown {
+  latestDerived(name: symbol): unknown {
     return this.derived.get(name) ?? this.inherited.get(name);
   }
 
@@ -148,7 +148,7 @@
   }
 
   /** Whether the digest matches the resources, given the digest of the parent. */
-  matches(parent: string): boolean {
+  matchesDigest(parent: string): boolean {
     return versionDigest(this.number, parent, stateDigest(this.resourceSet)) === this.digest;
   }
 
--- a/src/contracts/rollout.ts
+++ b/src/contracts/rollout.ts
@@ -83,11 +83,11 @@
 export type VersionClearance = z.infer<typeof VersionClearance>;
 
 /** Orders, clearances and evidence that are new to the sender's neighbours. */
-export const RolloutNews = z.strictObject({
+export const RolloutUpdate = z.strictObject({
   /** Whether the sender knows all orders, so that versions without an order here have none. */
   isComplete: z.boolean(),
   rollouts: z.array(Rollout),
   clearances: z.array(VersionClearance),
   evidence: z.array(Evidence),
 });
-export type RolloutNews = z.infer<typeof RolloutNews>;
+export type RolloutUpdate = z.infer<typeof RolloutUpdate>;
--- a/src/contracts/status.ts
+++ b/src/contracts/status.ts
@@ -8,14 +8,14 @@
  * An accepted version. `action` and `author` are absent if it was read from a process instead of
  * the log.
  */
-export const Standing = z.strictObject({
+export const AcceptedVersion = z.strictObject({
   number: z.number().int().min(1),
   note: z.string(),
   acceptedAt: z.number(),
   action: Action.optional(),
   author: z.string().optional(),
 });
-export type Standing = z.infer<typeof Standing>;
+export type AcceptedVersion = z.infer<typeof AcceptedVersion>;
 
 export const Status = z.strictObject({
   /**
@@ -27,7 +27,7 @@
   /** Whether the log was read from the platform; if not, later versions may have been accepted. */
   isLogRead: z.boolean(),
   /** The latest versions, or those of one release note, newest first. */
-  versions: z.array(Standing),
+  versions: z.array(AcceptedVersion),
   survey: Survey,
   /** The last order for each upstream that the answering process knows. */
   rollouts: z.array(Rollout).default([]),
--- a/src/daemon/control.ts
+++ b/src/daemon/control.ts
@@ -1,6 +1,6 @@
 /** Control plane of a process: configuration and membership, without the proxying of requests. */
 import { type Member } from '../contracts.js';
-import { Confirmation } from '../distribution/confirmation.js';
+import { HeadLookup } from '../distribution/head_lookup.js';
 import { type Feed } from '../distribution/feed.js';
 import { Distributor } from '../distribution/distributor.js';
 import { type Address, type Dialer, Mesh } from '../distribution/mesh.js';
@@ -134,7 +134,7 @@
       methods,
     );
     methods.on(HEARTBEAT, (peer, heartbeat) => {
-      this.distributor.heard(peer, heartbeat);
+      this.distributor.handleHeartbeat(peer, heartbeat);
       this.gossip.compare(peer, heartbeat.roster);
     });
     this.reader = new Reader(
@@ -145,7 +145,7 @@
       random,
       pace,
     );
-    const confirmation = new Confirmation(
+    const confirmation = new HeadLookup(
       this.reader,
       this.mesh,
       this.roster,
@@ -164,7 +164,7 @@
       random,
       pace,
     );
-    this.readiness.onReady(() => this.distributor.announce());
+    this.readiness.onReady(() => this.distributor.announceReady());
     const { roster, ranking, mesh } = this;
     this.directory = new Directory(platform, roster, ranking, clock, random, pace);
     this.endpointLease = new EndpointLease(roster, clock, options.leaseMs);
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -283,7 +283,12 @@
     const { upstreamName, upstreamAddress } = this.settings;
     if (upstreamName === undefined || upstreamAddress === undefined) return;
     const { clock, dialect = DEFAULT_DIALECT } = this.dependencies;
-    await this.replica.above(0, clock.now() + CONFIGURATION_TIMEOUT_MS, clock, NEVER_ABORTED);
+    await this.replica.waitUntilAbove(
+      0,
+      clock.now() + CONFIGURATION_TIMEOUT_MS,
+      clock,
+      NEVER_ABORTED,
+    );
     const path = this.replica.current.find('upstream', upstreamName)?.healthPath;
     if (path === undefined) return;
     const { endpointLease } = this.control;
--- a/src/daemon/operators_port.ts
+++ b/src/daemon/operators_port.ts
@@ -83,7 +83,7 @@
     const deadline = dependencies.clock.now() + Number(searchParams.get('wait') ?? 0);
     const disconnected = new AbortController();
     response.once('close', () => disconnected.abort());
-    await replica.above(above, deadline, dependencies.clock, disconnected.signal);
+    await replica.waitUntilAbove(above, deadline, dependencies.clock, disconnected.signal);
   }
 }
 
--- a/src/daemon/status.ts
+++ b/src/daemon/status.ts
@@ -1,5 +1,5 @@
 /** Status report: versions from the log, combined with a survey of the fleet. */
-import { OutcomeError, type Standing, type Status } from '../contracts.js';
+import { OutcomeError, type AcceptedVersion, type Status } from '../contracts.js';
 import { type OperatedInstance } from './operator_methods.js';
 
 /** Number of versions in a report. */
@@ -31,7 +31,7 @@
   { source, replica }: OperatedInstance,
   note: string | undefined,
   deadline: number,
-): Promise<Standing[] | undefined> {
+): Promise<AcceptedVersion[] | undefined> {
   try {
     const records = note
       ? await source.versionsOf(note, MAX_VERSIONS, deadline)
@@ -50,7 +50,7 @@
   }
 }
 
-function heldVersions({ replica }: OperatedInstance, note: string | undefined): Standing[] {
+function heldVersions({ replica }: OperatedInstance, note: string | undefined): AcceptedVersion[] {
   const recent = replica.since(Math.max(0, replica.current.number - MAX_VERSIONS)) ?? [];
   return recent
     .filter((version) => note === undefined || version.note === note)
--- a/src/distribution/distributor.ts
+++ b/src/distribution/distributor.ts
@@ -13,8 +13,8 @@
 import { MAX_CHANGE_BYTES, versionBytes } from './pages.js';
 import { type Profile } from './profile.js';
 import { Puller } from './puller.js';
-import { PullResponder } from './relay.js';
-import { InstanceVersions } from './remembered.js';
+import { PullResponder } from './pull_responder.js';
+import { InstanceVersions } from './instance_versions.js';
 import { type Replica } from './replica.js';
 
 export class Distributor {
@@ -55,7 +55,7 @@
   }
 
   /** Records the version in a peer's heartbeat, and pulls if the peer is ahead. */
-  heard(peer: Peer, { version, digest }: Heartbeat): void {
+  handleHeartbeat(peer: Peer, { version, digest }: Heartbeat): void {
     const { current } = this.replica;
     // Both ends record a refusal, as neither can tell which chain is the accepted one.
     if (version === current.number && !current.digest.startsWith(digest)) {
@@ -68,7 +68,7 @@
    * Tells all peers that this process is ready, so that they can confirm its version if it
    * restarts.
    */
-  announce(): void {
+  announceReady(): void {
     const version = this.replica.current.number;
     for (const peer of this.mesh.peers) peer.notify(AHEAD, { version, isReady: true });
   }
--- a/src/distribution/confirmation.ts
+++ b/src/distribution/head_lookup.ts
@@ -22,7 +22,7 @@
  * answered by the next round: a process asks its parent once on behalf of its whole subtree, and a
  * reader reads the log once for all queries.
  */
-export class Confirmation {
+export class HeadLookup {
   #currentRound: Promise<number> | undefined;
 
   #nextRound: Promise<number> | undefined;
--- a/src/distribution/mesh.ts
+++ b/src/distribution/mesh.ts
@@ -137,7 +137,7 @@
   }
 
   /** Opens a link to an address from the settings; resolves to undefined if that fails. */
-  async introduce(address: Address): Promise<Peer | undefined> {
+  async tryDial(address: Address): Promise<Peer | undefined> {
     return this.dial(address).catch(() => undefined);
   }
 
--- a/src/distribution/methods.ts
+++ b/src/distribution/methods.ts
@@ -17,7 +17,7 @@
   Push,
   Recall,
   Recalled,
-  RolloutNews,
+  RolloutUpdate,
   RosterDifference,
   RosterExchange,
   SurveyQuery,
@@ -77,8 +77,8 @@
   result: Nothing,
 };
 /** Reports rollout orders for upstreams, and evidence about the new versions. */
-export const ROLLOUT: Method<RolloutNews, unknown> = {
+export const ROLLOUT: Method<RolloutUpdate, unknown> = {
   name: 'rollout',
-  params: RolloutNews,
+  params: RolloutUpdate,
   result: Nothing,
 };
--- a/src/distribution/readiness.ts
+++ b/src/distribution/readiness.ts
@@ -4,7 +4,7 @@
 import { type Ranking } from '../membership/ranking.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { type Confirmation } from './confirmation.js';
+import { type HeadLookup } from './head_lookup.js';
 import { type Mesh } from './mesh.js';
 import { RECALL } from './methods.js';
 import { type Reader } from './reader.js';
@@ -30,7 +30,7 @@
     private readonly self: Member,
     private readonly replica: Replica,
     private readonly reader: Reader,
-    private readonly headLookup: Confirmation,
+    private readonly headLookup: HeadLookup,
     private readonly mesh: Mesh,
     private readonly ranking: Ranking,
     private readonly clock: Clock,
--- a/src/distribution/replica.ts
+++ b/src/distribution/replica.ts
@@ -73,7 +73,12 @@
   }
 
   /** Resolves once a version above `number` is current, at `deadline`, or when `signal` aborts. */
-  async above(number: number, deadline: number, clock: Clock, signal: AbortSignal): Promise<void> {
+  async waitUntilAbove(
+    number: number,
+    deadline: number,
+    clock: Clock,
+    signal: AbortSignal,
+  ): Promise<void> {
     if (this.#current.number > number) return;
     const reached = new AbortController();
     const check = () => {
@@ -123,7 +128,8 @@
       return this.#refuse(snapshot.number, 'too-large', []);
     }
     const candidate = Configuration.of(snapshot.number, snapshot.digest, snapshot.resources);
-    if (!candidate.matches(snapshot.parent)) return this.#refuse(snapshot.number, 'digest', []);
+    if (!candidate.matchesDigest(snapshot.parent))
+      return this.#refuse(snapshot.number, 'digest', []);
     const problems = validate(candidate);
     if (problems.length > 0) return this.#refuse(snapshot.number, 'invalid', problems);
     this.#current = candidate;
--- a/src/membership/bootstrap.ts
+++ b/src/membership/bootstrap.ts
@@ -45,7 +45,7 @@
       attempts = await this.#waitForAttempt(attempts, INITIAL_DIAL_CAP_MS, MAX_DIAL_CAP_MS, signal);
       if (signal.aborted || !this.#hasNoLinks) continue;
       const addresses = this.random.shuffled(this.addresses()).slice(0, CONCURRENT_DIALS);
-      await Promise.all(addresses.map((address) => this.mesh.introduce(address)));
+      await Promise.all(addresses.map((address) => this.mesh.tryDial(address)));
     }
   }
 
--- a/src/membership/probe.ts
+++ b/src/membership/probe.ts
@@ -42,7 +42,7 @@
     for (const address of [...this.#deadAddresses(), ...this.#unlinkedAddresses()]) {
       targets.set(formatAddress(address), address);
     }
-    await Promise.all([...targets.values()].map((address) => this.mesh.introduce(address)));
+    await Promise.all([...targets.values()].map((address) => this.mesh.tryDial(address)));
   }
 
   #deadAddresses(): Address[] {
--- a/src/requests/router.ts
+++ b/src/requests/router.ts
@@ -60,7 +60,7 @@
 function compiledRoutes(configuration: Configuration): CompiledRoutes {
   const known = configuration.derived.get(COMPILED) as CompiledRoutes | undefined;
   if (known) return known;
-  const earlier = configuration.earlier(COMPILED) as CompiledRoutes | undefined;
+  const earlier = configuration.latestDerived(COMPILED) as CompiledRoutes | undefined;
   const routes = [...configuration.all('route')];
   const fresh = earlier ? recompile(earlier, routes) : compile(routes.sort(bySpecificity));
   configuration.derived.set(COMPILED, fresh);
--- a/src/rollout/rollout_broadcast.ts
+++ b/src/rollout/rollout_broadcast.ts
@@ -3,7 +3,7 @@
   type Evidence,
   type Rollout,
   type VersionClearance,
-  type RolloutNews,
+  type RolloutUpdate,
 } from '../contracts.js';
 import { type Mesh } from '../distribution/mesh.js';
 import { ROLLOUT } from '../distribution/methods.js';
@@ -71,7 +71,7 @@
     this.#flushing ??= this.#flushLater();
   }
 
-  #receive({ isComplete, rollouts, clearances, evidence }: RolloutNews, peer: Peer): void {
+  #receive({ isComplete, rollouts, clearances, evidence }: RolloutUpdate, peer: Peer): void {
     this.addOrders(rollouts, peer);
     this.markCleared(clearances, peer);
     if (isComplete) this.markComplete(peer);
@@ -79,7 +79,7 @@
     for (const statement of evidence) this.addEvidence(statement, from);
   }
 
-  #send(news: Partial<RolloutNews>, from: Peer | undefined): void {
+  #send(news: Partial<RolloutUpdate>, from: Peer | undefined): void {
     if ((news.rollouts ?? news.clearances ?? []).length === 0) return;
     for (const peer of this.mesh.peers) {
       if (peer !== from) peer.notify(ROLLOUT, newsOf(this.orders.isComplete, news));
@@ -98,7 +98,7 @@
     }
   }
 
-  #all(): RolloutNews {
+  #all(): RolloutUpdate {
     const { orders, evidenceStore } = this;
     return {
       isComplete: orders.isComplete,
@@ -109,6 +109,6 @@
   }
 }
 
-function newsOf(isComplete: boolean, news: Partial<RolloutNews>): RolloutNews {
+function newsOf(isComplete: boolean, news: Partial<RolloutUpdate>): RolloutUpdate {
   return { isComplete, rollouts: [], clearances: [], evidence: [], ...news };
 }
--- a/src/source/head.ts
+++ b/src/source/head.ts
@@ -105,7 +105,7 @@
     const { number, digest, parent, resources } = snapshot;
     const configuration = Configuration.of(number, digest, resources);
     // The parts were verified one by one; this detects a snapshot that lists the wrong parts.
-    if (!configuration.matches(parent)) return;
+    if (!configuration.matchesDigest(parent)) return;
     this.#configuration = configuration;
     this.#parent = parent;
     this.#floor = number;
--- a/src/test/configuration/configuration_test.ts
+++ b/src/test/configuration/configuration_test.ts
@@ -34,8 +34,8 @@
   it('detects a resource that does not match the digest', () => {
     const one = Configuration.empty.next({ put: [listings, menus], remove: [] });
     const forged = Configuration.of(1, one.digest, [listings, { ...menus, timeoutMs: 1 }]);
-    expect(one.matches(Configuration.empty.digest)).to.equal(true);
-    expect(forged.matches(Configuration.empty.digest)).to.equal(false);
+    expect(one.matchesDigest(Configuration.empty.digest)).to.equal(true);
+    expect(forged.matchesDigest(Configuration.empty.digest)).to.equal(false);
   });
 });
 
--- a/src/test/distribution/distributor_test.ts
+++ b/src/test/distribution/distributor_test.ts
@@ -88,7 +88,7 @@
     const [paused, parent, , last] = fleet.ranked('arima');
     const pausedPeer = last!.control.mesh.peer(paused!.name)!;
     paused!.host.gate.shut();
-    last!.control.distributor.heard(pausedPeer, { version: 1, digest: '', roster: '' });
+    last!.control.distributor.handleHeartbeat(pausedPeer, { version: 1, digest: '', roster: '' });
     await fleet.time.advance(250);
     parent!.control.replica.apply([fleet.next()]);
     const hasIt = () => held(last!) === 1;
--- a/src/test/distribution/remembered_test.ts
+++ b/src/test/distribution/instance_versions_test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { InstanceVersions } from '../../distribution/remembered.js';
+import { InstanceVersions } from '../../distribution/instance_versions.js';
 import { type Member } from '../../contracts.js';
 
 const CAPACITY = 4_096;
--- a/src/test/distribution/narrow_links_test.ts
+++ b/src/test/distribution/narrow_links_test.ts
@@ -5,7 +5,7 @@
 import { LongMessageCodec } from '../../link/long_message_codec.js';
 import { PROMPT } from '../../membership/pace.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { IdleFeed } from './still_feed.js';
+import { IdleFeed } from './idle_feed.js';
 import { TestFleet } from './test_fleet.js';
 
 const LINK_KBPS = 5_880;
--- a/src/test/distribution/relay_test.ts
+++ b/src/test/distribution/pull_responder_test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { Configuration } from '../../configuration/configuration.js';
 import { type Pulled, Upstream } from '../../contracts.js';
-import { PullResponder } from '../../distribution/relay.js';
+import { PullResponder } from '../../distribution/pull_responder.js';
 import { Replica } from '../../distribution/replica.js';
 import { FakeTime } from '../fake_time.js';
 import { TestFleet } from './test_fleet.js';
--- a/src/test/distribution/skipped_versions_test.ts
+++ b/src/test/distribution/skipped_versions_test.ts
@@ -5,7 +5,7 @@
 import { type Clock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { NewestObject, SlowFeed } from './newest_object.js';
-import { IdleFeed } from './still_feed.js';
+import { IdleFeed } from './idle_feed.js';
 import { type Node, TestFleet } from './test_fleet.js';
 
 const SIZES = { arima: 10, chaguanas: 9 };
--- a/src/test/membership/probe_test.ts
+++ b/src/test/membership/probe_test.ts
@@ -35,8 +35,8 @@
     await fleet.time.advance(20_000);
     let dials = 0;
     const count = ({ mesh }: Node) => {
-      const { introduce } = mesh;
-      mesh.introduce = (address) => {
+      const { tryDial: introduce } = mesh;
+      mesh.tryDial = (address) => {
         dials += 1;
         return introduce.call(mesh, address);
       };
--- a/src/tool/render_status.ts
+++ b/src/tool/render_status.ts
@@ -1,5 +1,5 @@
 /** Text for where versions stand. */
-import { type Rollout, type Standing, type Status, type Survey } from '../contracts.js';
+import { type Rollout, type AcceptedVersion, type Status, type Survey } from '../contracts.js';
 import { instant } from './render_audit.js';
 import { table } from './table.js';
 
@@ -36,7 +36,7 @@
 
 /** A process that did not answer counts as unknown, never as one that holds the version. */
 function rowOf(
-  { number, note, action, author, acceptedAt }: Standing,
+  { number, note, action, author, acceptedAt }: AcceptedVersion,
   asOf: number,
   survey: Survey,
 ): string[] {
