--- a/src/bench/claims.ts
+++ b/src/bench/claims.ts
@@ -8,7 +8,7 @@
 import { type Platform } from '../platform/platform.js';
 import { type ClaimStore } from '../claims/claim_store.js';
 import { Claims } from '../claims/claims.js';
-import { type Gathering, RangeClaims } from '../claims/range_claims.js';
+import { type BatchOptions, RangeClaims } from '../claims/range_claims.js';
 import { SingleClaims } from '../claims/single_claims.js';
 import { TimerClock } from '../runtime/clock.js';
 import { SeededRandom } from '../runtime/random.js';
@@ -35,7 +35,7 @@
 /** One way of keeping claims. */
 interface Way {
   readonly name: string;
-  readonly gathering?: Gathering;
+  readonly gathering?: BatchOptions;
   /** Requests of a range all reach the same process. */
   readonly isOwned: boolean;
 }
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -4,7 +4,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { type ClaimStore } from './claim_store.js';
-import { ClaimWriter } from './claim_writes.js';
+import { ClaimWriter } from './claim_writer.js';
 import { HeldClaim } from './held_claim.js';
 import { StoreWindow } from './store_window.js';
 
--- a/src/claims/fingerprint.ts
+++ b/src/claims/fingerprint.ts
@@ -8,7 +8,7 @@
 export const MAX_PREFIX_BYTES = 64 * 1024;
 
 /** The prefix of a request's body, and a stream of the whole body. */
-export interface Opening {
+export interface PeekResult {
   readonly prefix: readonly Buffer[];
   /** Length of the whole body in bytes; undefined if it is neither declared nor read to its end. */
   readonly length: number | undefined;
@@ -16,7 +16,7 @@
 }
 
 /** Reads the prefix of the body, all of a short one. Throws `not-run` if the body is truncated. */
-export async function openBody(request: IncomingMessage): Promise<Opening> {
+export async function peekBody(request: IncomingMessage): Promise<PeekResult> {
   const iterator = request.iterator({ destroyOnReturn: false }) as AsyncIterator<Buffer>;
   const prefix: Buffer[] = [];
   let length = 0;
@@ -44,7 +44,7 @@
 /** Digest of a request. Beyond the prefix, bodies are told apart by their length only. */
 export function fingerprintOf(
   { method, url }: Pick<IncomingMessage, 'method' | 'url'>,
-  { prefix, length }: Pick<Opening, 'prefix' | 'length'>,
+  { prefix, length }: Pick<PeekResult, 'prefix' | 'length'>,
 ): string {
   const hash = createHash('sha256');
   hash.update(JSON.stringify([method, url, length]));
--- a/src/claims/once.ts
+++ b/src/claims/once.ts
@@ -3,7 +3,7 @@
 import { type Readable } from 'node:stream';
 import { asOutcome } from '../contracts.js';
 import { type Claims } from './claims.js';
-import { fingerprintOf, openBody } from './fingerprint.js';
+import { fingerprintOf, peekBody } from './fingerprint.js';
 import { type HeldClaim } from './held_claim.js';
 import { replay } from './outcome.js';
 
@@ -29,7 +29,7 @@
   { request, response, route, key, deadline }: OnceRequest,
   run: RunUnderClaim,
 ): Promise<void> {
-  const peeked = await openBody(request);
+  const peeked = await peekBody(request);
   const fingerprint = fingerprintOf(request, peeked);
   const admission = await claims.admit({ route, key, fingerprint, deadline });
   if (admission.kind === 'replay') {
--- a/src/claims/outcome.ts
+++ b/src/claims/outcome.ts
@@ -22,7 +22,7 @@
  * end even if the caller has disconnected, because the caller will repeat the request to learn its
  * outcome. Rejects if the upstream's answer is truncated.
  */
-export async function relayAndKeep(
+export async function relayAndRecord(
   answer: IncomingMessage,
   response: ServerResponse,
 ): Promise<Outcome> {
--- a/src/claims/range_claims.ts
+++ b/src/claims/range_claims.ts
@@ -7,7 +7,7 @@
 import { ClaimStore } from './claim_store.js';
 
 /** How claims are partitioned and their writes batched. */
-export interface Gathering {
+export interface BatchOptions {
   /** Number of ranges; must be the same in the whole fleet. */
   readonly ranges: number;
   /** How long the first operation of a batch waits for others, in milliseconds. */
@@ -24,7 +24,7 @@
     private readonly platform: Platform,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly options: Gathering,
+    private readonly options: BatchOptions,
   ) {
     super();
   }
--- a/src/daemon/operator_methods.ts
+++ b/src/daemon/operator_methods.ts
@@ -2,7 +2,7 @@
 import { JSONRPCErrorException, JSONRPCServer } from 'json-rpc-2.0';
 import * as z from 'zod';
 import { AuditCursor, OutcomeError } from '../contracts.js';
-import { checkNote, parseNote, type Reading } from '../source/note_text.js';
+import { checkNote, parseNote, type ParsedNote } from '../source/note_text.js';
 import { attemptOf } from '../source/source.js';
 import { type Instance } from './instance.js';
 import { statusOf } from './status.js';
@@ -64,7 +64,7 @@
 }
 
 /** Parses a release note that is given as YAML text or as the equivalent object. */
-function parseNoteParams(params: unknown): Reading {
+function parseNoteParams(params: unknown): ParsedNote {
   const text = NoteTextParams.safeParse(params);
   return text.success ? parseNote(text.data.text) : checkNote(params);
 }
--- a/src/platform/http_platform.ts
+++ b/src/platform/http_platform.ts
@@ -7,7 +7,7 @@
   keyParts,
   type Listing,
   Platform,
-  type Range,
+  type KeyRange,
   type Stored,
 } from './platform.js';
 import { type Answer, StoreConnection } from './store_connection.js';
@@ -50,7 +50,7 @@
     return answer.status === STATUS_NOT_FOUND ? undefined : parseObject(kind, bodyOf(answer));
   }
 
-  async list(range: Range, deadline: number): Promise<Stored[]> {
+  async list(range: KeyRange, deadline: number): Promise<Stored[]> {
     const { kind } = keyParts(range.prefix);
     const found: Stored[] = [];
     const { limit = Infinity } = range;
@@ -62,7 +62,7 @@
     return found.slice(0, limit);
   }
 
-  async listing(kind: string, deadline: number): Promise<Listing> {
+  async listKind(kind: string, deadline: number): Promise<Listing> {
     const objects: Stored[] = [];
     // The revision of the first page: changes made while later pages were read are then seen again.
     let asOf: number | undefined;
@@ -73,7 +73,7 @@
     return { objects, asOf: asOf ?? 0 };
   }
 
-  async changes(
+  async waitForChanges(
     kind: string,
     asOf: number,
     deadline: number,
@@ -92,14 +92,14 @@
     return parseChanges(kind, bodyOf(answer));
   }
 
-  async watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
+  async watch(range: KeyRange, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
     const { kind } = keyParts(range.prefix);
-    let { asOf } = await this.listing(kind, deadline);
+    let { asOf } = await this.listKind(kind, deadline);
     for (;;) {
       const found = await this.list(range, deadline);
       if (found.length > 0 || signal?.aborted || this.clock.now() >= deadline) return found;
       try {
-        ({ asOf } = await this.changes(kind, asOf, deadline, signal));
+        ({ asOf } = await this.waitForChanges(kind, asOf, deadline, signal));
       } catch (error) {
         if (signal?.aborted) return [];
         throw error;
@@ -183,12 +183,12 @@
   return `${kindPath(kind)}/${encodeURIComponent(name)}`;
 }
 
-function hasPrefix(key: string, { prefix }: Range): boolean {
+function hasPrefix(key: string, { prefix }: KeyRange): boolean {
   return key.startsWith(prefix);
 }
 
 /** The name after which a listing of the range starts, so that it reads no page needlessly. */
-function startNameOf({ prefix, after }: Range): string | undefined {
+function startNameOf({ prefix, after }: KeyRange): string | undefined {
   const from = after !== undefined && after > prefix ? after : prefix;
   const { name } = keyParts(from);
   return name === '' ? undefined : name;
--- a/src/platform/object_feed.ts
+++ b/src/platform/object_feed.ts
@@ -24,7 +24,7 @@
   }
 
   async catchUp(deadline: number): Promise<boolean> {
-    const { objects, asOf } = await this.platform.listing(KIND, deadline);
+    const { objects, asOf } = await this.platform.listKind(KIND, deadline);
     const main = objects.find(({ key }) => key === KEY);
     if (!main) throw absentError();
     const isWhole = this.#apply(main);
@@ -35,7 +35,12 @@
   async follow(deadline: number, signal: AbortSignal): Promise<boolean> {
     if (this.#asOf === undefined) return this.catchUp(deadline);
     try {
-      const { changes, asOf } = await this.platform.changes(KIND, this.#asOf, deadline, signal);
+      const { changes, asOf } = await this.platform.waitForChanges(
+        KIND,
+        this.#asOf,
+        deadline,
+        signal,
+      );
       const latest = changes.findLast(({ object, isDeleted }) => object.key === KEY && !isDeleted);
       const isWhole = latest ? this.#apply(latest.object) : true;
       this.#asOf = asOf;
--- a/src/platform/object_orders.ts
+++ b/src/platform/object_orders.ts
@@ -30,7 +30,7 @@
   }
 
   async list(deadline: number): Promise<OrderList> {
-    const { objects, asOf } = await this.platform.listing(KIND, deadline);
+    const { objects, asOf } = await this.platform.listKind(KIND, deadline);
     this.#asOf = asOf;
     return { rollouts: objects.flatMap((object) => rolloutFrom(object, false)), revision: asOf };
   }
@@ -38,7 +38,12 @@
   async follow(deadline: number, signal: AbortSignal): Promise<OrderList> {
     if (this.#asOf === undefined) return this.list(deadline);
     try {
-      const { changes, asOf } = await this.platform.changes(KIND, this.#asOf, deadline, signal);
+      const { changes, asOf } = await this.platform.waitForChanges(
+        KIND,
+        this.#asOf,
+        deadline,
+        signal,
+      );
       this.#asOf = asOf;
       const rollouts = changes.flatMap(({ object, isDeleted }) => rolloutFrom(object, isDeleted));
       return { rollouts, revision: asOf };
--- a/src/platform/platform.ts
+++ b/src/platform/platform.ts
@@ -13,7 +13,7 @@
 }
 
 /** The keys that a listing or a watch covers, and how many it returns. */
-export interface Range {
+export interface KeyRange {
   readonly prefix: string;
   /** Only keys that sort after this one are returned. */
   readonly after?: string;
@@ -28,14 +28,14 @@
 }
 
 /** One changed or deleted object. */
-export interface Changed {
+export interface ObjectChange {
   readonly object: Stored;
   readonly isDeleted: boolean;
 }
 
 /** Changes to the objects of one kind since a revision; empty if there were none in time. */
 export interface Changes {
-  readonly changes: readonly Changed[];
+  readonly changes: readonly ObjectChange[];
   readonly asOf: number;
 }
 
@@ -57,7 +57,7 @@
   readonly meter = new CallMeter();
 
   /** The objects of a range, in key order. */
-  abstract list(range: Range, deadline: number): Promise<Stored[]>;
+  abstract list(range: KeyRange, deadline: number): Promise<Stored[]>;
 
   /** Creates the key if absent; resolves to undefined if it exists already. */
   abstract create(key: string, value: string, deadline: number): Promise<Stored | undefined>;
@@ -82,14 +82,14 @@
   abstract remove(key: string, revision: number, deadline: number): Promise<boolean>;
 
   /** All objects of a kind, which is the first part of their keys. */
-  abstract listing(kind: string, deadline: number): Promise<Listing>;
+  abstract listKind(kind: string, deadline: number): Promise<Listing>;
 
   /**
    * Waits for changes to objects of a kind after revision `asOf`, at most until the deadline. This
    * counts as one call however long it waits. Throws with reason `HISTORY_GONE` if the store no
    * longer holds the changes since `asOf`.
    */
-  abstract changes(
+  abstract waitForChanges(
     kind: string,
     asOf: number,
     deadline: number,
@@ -100,7 +100,7 @@
    * Waits until the range contains at least one object and returns its objects, or returns an empty
    * list at the deadline.
    */
-  abstract watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]>;
+  abstract watch(range: KeyRange, deadline: number, signal?: AbortSignal): Promise<Stored[]>;
 }
 
 /** Splits `kind/name`; the name may contain slashes. */
--- a/src/platform/rehearse.ts
+++ b/src/platform/rehearse.ts
@@ -18,7 +18,7 @@
 } from '../standins/mesh_machine.js';
 import { MeshUpstream } from '../standins/mesh_upstream.js';
 import { PlatformServer } from '../standins/platform_server.js';
-import { loadWithCodeCache } from './compiled.js';
+import { loadWithCodeCache } from './code_cache.js';
 
 const SERVICES = ['rehearsal'];
 const ROUTES = 20;
--- a/src/quarantine/crash_detector.ts
+++ b/src/quarantine/crash_detector.ts
@@ -3,7 +3,7 @@
 import { connect } from 'node:net';
 import { asOutcome } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
-import { type Opening, openBody } from '../claims/fingerprint.js';
+import { type PeekResult, peekBody } from '../claims/fingerprint.js';
 import { type Quarantine } from './quarantine.js';
 import {
   headFingerprint,
@@ -93,14 +93,14 @@
     upstream: string,
     request: IncomingMessage,
     response: ServerResponse,
-  ): Promise<Opening | undefined> {
+  ): Promise<PeekResult | undefined> {
     const { quarantine } = this;
     if (quarantine.isIdle) return undefined;
     const head = headFingerprint(upstream, request);
     quarantine.check(head);
     if (!quarantine.needsBody(head) || !needsBody(request)) return undefined;
     if (request.headers.expect !== undefined) response.writeContinue();
-    const opening = await openBody(request);
+    const opening = await peekBody(request);
     const fingerprint = wholeFingerprint(head, opening.prefix);
     quarantine.check(fingerprint);
     this.#knownFingerprints.set(request, fingerprint);
--- a/src/requests/guard.ts
+++ b/src/requests/guard.ts
@@ -39,7 +39,7 @@
 import { AnswerSizes } from '../placement/answer_sizes.js';
 import { type HeldClaim } from '../claims/held_claim.js';
 import { runOnce } from '../claims/once.js';
-import { relayAndKeep } from '../claims/outcome.js';
+import { relayAndRecord } from '../claims/outcome.js';
 import { type Observer, type ObservedAnswer } from '../rollout/observer.js';
 import { DEFAULT_DIALECT } from './default_dialect.js';
 import { DisconnectCheck } from './disconnect_check.js';
@@ -257,7 +257,7 @@
     if (claim) {
       // Responses to claimed requests are stored in the platform, so they are small.
       guardRequest.departure?.[Symbol.dispose]();
-      claim.settle(await exchange.withProgressTimeout(answer, relayAndKeep(answer, response)));
+      claim.settle(await exchange.withProgressTimeout(answer, relayAndRecord(answer, response)));
     } else {
       const length = Number(answer.headers['content-length'] ?? 0);
       this.#weights.record(guardRequest.kind, length);
--- a/src/source/note_text.ts
+++ b/src/source/note_text.ts
@@ -3,11 +3,11 @@
 import { MAX_NOTE_BYTES, type Problem, ReleaseNote } from '../contracts.js';
 
 /** A release note, or all problems of the text; `data` is what could be parsed of it. */
-export type Reading =
+export type ParsedNote =
   | { readonly note: ReleaseNote }
   | { readonly problems: readonly Problem[]; readonly data?: unknown };
 
-export function parseNote(text: string): Reading {
+export function parseNote(text: string): ParsedNote {
   const bytes = Buffer.byteLength(text);
   if (bytes > MAX_NOTE_BYTES) {
     const message = `is ${bytes} bytes long, at most ${MAX_NOTE_BYTES} are allowed`;
@@ -28,7 +28,7 @@
 }
 
 /** Validates parsed data against the schema of release notes. */
-export function checkNote(data: unknown): Reading {
+export function checkNote(data: unknown): ParsedNote {
   const parsed = ReleaseNote.safeParse(data);
   if (parsed.success) return { note: parsed.data };
   const problems = parsed.error.issues.flatMap((issue) => {
--- a/src/standins/platform_server.ts
+++ b/src/standins/platform_server.ts
@@ -96,7 +96,7 @@
 
   async #page(url: URL, kind: string, deadline: number): Promise<Reply> {
     const after = url.searchParams.get('after');
-    const { objects, asOf } = await this.store.listing(kind, deadline);
+    const { objects, asOf } = await this.store.listKind(kind, deadline);
     const left = after === null ? objects : objects.filter(({ key }) => key > `${kind}/${after}`);
     const items = left.slice(0, PAGE).map(objectOf);
     return found({ items, hasMore: left.length > PAGE, asOf });
@@ -108,7 +108,7 @@
     const until = this.clock.now() + Number(url.searchParams.get('waitMs'));
     const since = Number(url.searchParams.get('watch'));
     try {
-      const { changes, asOf } = await this.store.changes(kind, since, until, gone.signal);
+      const { changes, asOf } = await this.store.waitForChanges(kind, since, until, gone.signal);
       const events = changes.map(({ object, isDeleted }) => ({
         object: objectOf(object),
         deleted: isDeleted,
--- a/src/standins/platform_store.ts
+++ b/src/standins/platform_store.ts
@@ -1,13 +1,13 @@
 /** Stand-in for the platform's object API, in memory, with the faults the real one has. */
 import { OutcomeError, type Verdict } from '../contracts.js';
 import {
-  type Changed,
+  type ObjectChange,
   type Changes,
   HISTORY_GONE,
   type Listing,
   MAX_VALUE_BYTES,
   Platform,
-  type Range,
+  type KeyRange,
   type Stored,
 } from '../platform/platform.js';
 import { type Clock } from '../runtime/clock.js';
@@ -63,7 +63,7 @@
   #revision = 0;
 
   /** What was changed last, oldest first. */
-  #history: Changed[] = [];
+  #history: ObjectChange[] = [];
 
   /** Revision up to which the history has been dropped. */
   #droppedTo = 0;
@@ -81,7 +81,7 @@
     return this.#values.get(key);
   }
 
-  async list(range: Range, deadline: number): Promise<Stored[]> {
+  async list(range: KeyRange, deadline: number): Promise<Stored[]> {
     this.calls.reads += 1;
     await this.#admit('read', deadline);
     return this.#match(range);
@@ -127,13 +127,13 @@
     return this.#answer(current);
   }
 
-  async listing(kind: string, deadline: number): Promise<Listing> {
+  async listKind(kind: string, deadline: number): Promise<Listing> {
     this.calls.reads += 1;
     await this.#admit('read', deadline);
     return { objects: this.#match({ prefix: `${kind}/` }), asOf: this.#revision };
   }
 
-  async changes(
+  async waitForChanges(
     kind: string,
     asOf: number,
     deadline: number,
@@ -161,7 +161,7 @@
     this.disturb();
   }
 
-  async watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
+  async watch(range: KeyRange, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
     this.calls.watches += 1;
     await this.#admit('read', deadline);
     while (this.clock.now() < deadline && !signal?.aborted) {
@@ -243,7 +243,7 @@
     this.#remember({ object, isDeleted: true });
   }
 
-  #remember(changed: Changed): void {
+  #remember(changed: ObjectChange): void {
     this.#history.push(changed);
     if (this.#history.length > HISTORY) this.#droppedTo = this.#history.shift()!.object.revision;
     for (const waiter of [...this.#waiters]) {
@@ -251,7 +251,7 @@
     }
   }
 
-  #match(range: Range): Stored[] {
+  #match(range: KeyRange): Stored[] {
     this.#sortedKeys ??= [...this.#values.keys()].sort();
     const { prefix, after, limit = Infinity } = range;
     const found: Stored[] = [];
--- a/src/standins/reached_platform.ts
+++ b/src/standins/reached_platform.ts
@@ -4,7 +4,7 @@
   type Changes,
   type Listing,
   Platform,
-  type Range,
+  type KeyRange,
   type Stored,
 } from '../platform/platform.js';
 import { type Clock } from '../runtime/clock.js';
@@ -24,7 +24,7 @@
     return this.#call(deadline, () => this.platform.get(key, deadline));
   }
 
-  list(range: Range, deadline: number): Promise<Stored[]> {
+  list(range: KeyRange, deadline: number): Promise<Stored[]> {
     return this.#call(deadline, () => this.platform.list(range, deadline));
   }
 
@@ -54,15 +54,20 @@
     return this.#call(deadline, () => this.platform.remove(key, revision, deadline));
   }
 
-  listing(kind: string, deadline: number): Promise<Listing> {
-    return this.#call(deadline, () => this.platform.listing(kind, deadline));
+  listKind(kind: string, deadline: number): Promise<Listing> {
+    return this.#call(deadline, () => this.platform.listKind(kind, deadline));
   }
 
-  changes(kind: string, asOf: number, deadline: number, signal?: AbortSignal): Promise<Changes> {
-    return this.#call(deadline, () => this.platform.changes(kind, asOf, deadline, signal));
+  waitForChanges(
+    kind: string,
+    asOf: number,
+    deadline: number,
+    signal?: AbortSignal,
+  ): Promise<Changes> {
+    return this.#call(deadline, () => this.platform.waitForChanges(kind, asOf, deadline, signal));
   }
 
-  watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
+  watch(range: KeyRange, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
     return this.#call(deadline, () => this.platform.watch(range, deadline, signal));
   }
 
--- a/src/test/platform/compiled_test.ts
+++ b/src/test/platform/code_cache_test.ts
@@ -2,7 +2,7 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { expect } from 'chai';
-import { loadWithCodeCache } from '../../platform/compiled.js';
+import { loadWithCodeCache } from '../../platform/code_cache.js';
 
 const SOURCE = 'exports.run = () => 42;';
 
--- a/src/test/requests/faulty_platform.ts
+++ b/src/test/requests/faulty_platform.ts
@@ -3,7 +3,7 @@
   type Changes,
   type Listing,
   Platform,
-  type Range,
+  type KeyRange,
   type Stored,
 } from '../../platform/platform.js';
 import { type Clock } from '../../runtime/clock.js';
@@ -42,7 +42,7 @@
     return this.store.get(key, deadline);
   }
 
-  async list(range: Range, deadline: number): Promise<Stored[]> {
+  async list(range: KeyRange, deadline: number): Promise<Stored[]> {
     await this.#delay();
     return this.store.list(range, deadline);
   }
@@ -63,15 +63,20 @@
     return this.#write(() => this.store.remove(key, revision, deadline + LATE_MS));
   }
 
-  listing(kind: string, deadline: number): Promise<Listing> {
-    return this.store.listing(kind, deadline);
+  listKind(kind: string, deadline: number): Promise<Listing> {
+    return this.store.listKind(kind, deadline);
   }
 
-  changes(kind: string, asOf: number, deadline: number, signal?: AbortSignal): Promise<Changes> {
-    return this.store.changes(kind, asOf, deadline, signal);
+  waitForChanges(
+    kind: string,
+    asOf: number,
+    deadline: number,
+    signal?: AbortSignal,
+  ): Promise<Changes> {
+    return this.store.waitForChanges(kind, asOf, deadline, signal);
   }
 
-  watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
+  watch(range: KeyRange, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
     return this.store.watch(range, deadline, signal);
   }
 
