--- a/src/daemon/control.ts
+++ b/src/daemon/control.ts
@@ -194,7 +194,7 @@
    * the local endpoint, or after `REPLICATION_TIMEOUT_MS`. An announcement that is acknowledged
    * earlier would be lost if this process crashed.
    */
-  async kept(): Promise<void> {
+  async endpointReplicated(): Promise<void> {
     await this.gossip.dissemination.flush(
       this.dependencies.clock.now() + REPLICATION_TIMEOUT_MS,
       REQUIRED_REPLICAS,
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -35,7 +35,7 @@
 import { Tally } from '../logs/tally.js';
 import { type OrderSource } from '../rollout/order_source.js';
 import { Rollouts } from '../rollout/rollouts.js';
-import { recordStateChanges } from './beliefs.js';
+import { recordStateChanges } from './state_changes.js';
 import { EndedRequests } from './ended_requests.js';
 import { OperatorsPort } from './operators_port.js';
 import { bind } from './bind.js';
--- a/src/daemon/main.ts
+++ b/src/daemon/main.ts
@@ -10,7 +10,7 @@
 import { MachineClock } from '../runtime/clock.js';
 import { MachineRandom } from '../runtime/random.js';
 import { EXIT_OK, EXIT_SETTINGS } from './exit.js';
-import { sayLastWords } from './last_words.js';
+import { exitOnUncaughtException } from './uncaught_exception.js';
 import { Instance } from './instance.js';
 import { FLAG_HELP, flagName, readSettings, type Settings, SettingsError } from './settings.js';
 
@@ -34,7 +34,7 @@
 }
 
 async function serve(settings: Settings): Promise<void> {
-  sayLastWords(settings.instance);
+  exitOnUncaughtException(settings.instance);
   const clock = new MachineClock();
   await using platform = new HttpPlatform(new URL(settings.platform), clock);
   const codec = codecFor(settings);
--- a/src/daemon/last_words.ts
+++ b/src/daemon/uncaught_exception.ts
@@ -13,7 +13,7 @@
  * log would break off without a cause. The line is written synchronously, since nothing else in
  * the process can be relied on to run any more.
  */
-export function sayLastWords(instance: string): void {
+export function exitOnUncaughtException(instance: string): void {
   process.once('uncaughtException', (error: unknown, origin) => {
     const { message, stack = '' } = error instanceof Error ? error : new Error(String(error));
     const event: LogEvent = {
--- a/src/logs/request_log.ts
+++ b/src/logs/request_log.ts
@@ -111,7 +111,7 @@
   readonly startedAt: number;
 
   /** Route and upstream of the request, as far as they are known. */
-  about: Destination = {};
+  destination: Destination = {};
 
   /** Time after which a response is of less use, in milliseconds since the epoch. */
   #targetAt = Infinity;
@@ -130,17 +130,17 @@
   }
 
   /** Adds a decision. It is written after the end of the request, if that is logged. */
-  note(event: RequestEvent): void {
+  add(event: RequestEvent): void {
     if (!this.log) return;
     if (this.#decisions.length >= MAX_DECISIONS) this.#decisions.splice(1, 1);
     this.#decisions.push({ at: this.clock.now(), event });
   }
 
   routed(routed: Routed): void {
-    this.about = { route: routed.route, upstream: routed.upstream };
+    this.destination = { route: routed.route, upstream: routed.upstream };
     this.#targetAt = this.startedAt + routed.targetMs;
     this.#isReturn = routed.waitedMs !== undefined;
-    this.note(routed);
+    this.add(routed);
   }
 
   /** Adds that the response body has been relayed completely. */
@@ -189,13 +189,13 @@
     const tookMs = Math.round(now - this.startedAt);
     const ended = {
       ...part,
-      ...this.about,
+      ...this.destination,
       ...this.#relayed,
       tookMs,
       ...(now > this.#targetAt && { isLate: true }),
       ...(this.#isReturn && { isReturn: true }),
     } as EndEvent;
-    this.note(ended);
+    this.add(ended);
     this.log?.write(this.id, this.#decisions, ended);
     this.onEnded(ended);
   }
@@ -211,7 +211,7 @@
 }
 
 /** A request log that writes nothing. */
-export function silentRequests(clock: Clock): RequestLog {
+export function silentRequestLog(clock: Clock): RequestLog {
   return new RequestLog(new SilentLog(), clock);
 }
 
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -2,7 +2,7 @@
 import { once } from 'node:events';
 import { watchFile } from 'node:fs';
 import { bind } from '../daemon/bind.js';
-import { sayLastWords } from '../daemon/last_words.js';
+import { exitOnUncaughtException } from '../daemon/uncaught_exception.js';
 import { Instance } from '../daemon/instance.js';
 import { LineLog } from '../logs/log.js';
 import { standardOutput } from '../logs/sink.js';
@@ -36,7 +36,7 @@
   const path = environment[SETTINGS_VARIABLE] ?? '';
   let file = await readHostFile(path);
   const settings = settingsOf(file);
-  sayLastWords(settings.instance);
+  exitOnUncaughtException(settings.instance);
   const clock = new MachineClock();
   const platform = new HttpPlatform(new URL(settings.platform), clock);
   const log = new LineLog(settings.instance, settings.logLevel, standardOutput(), clock);
@@ -79,7 +79,7 @@
     const reports = createReportServer(() => service, {
       take: (announcement) => control.endpointLease.renew(announcement),
       depart: (life) => control.endpointLease.depart(life),
-      kept: () => control.kept(),
+      kept: () => control.endpointReplicated(),
     });
     await bind(reports, listen.control.host, listen.control.port);
   }
--- a/src/requests/attempts.ts
+++ b/src/requests/attempts.ts
@@ -66,7 +66,7 @@
     const failed = this.#failedAttempt(outcome);
     const retry = budget.retry(failed, retryPercent);
     if (!retry) throw this.#giveUp(outcome, budget.denial(failed, retryPercent) ?? 'budget-spent');
-    trace.note({
+    trace.add({
       event: 'resent',
       endpoint: next.member.instance,
       isFailover: retry.isFailover,
@@ -97,7 +97,7 @@
   #giveUp(outcome: OutcomeError, denial: string): OutcomeError {
     const { trace, upstream } = this.routed;
     const tokens = Math.floor(this.budgets.of(upstream).tokens);
-    trace.note({ event: 'not-resent', denial, tokens });
+    trace.add({ event: 'not-resent', denial, tokens });
     return this.#finalOutcome(outcome);
   }
 
--- a/src/requests/entry.ts
+++ b/src/requests/entry.ts
@@ -2,7 +2,7 @@
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { type Configuration } from '../configuration/configuration.js';
 import { asOutcome, notRun, OutcomeError } from '../contracts.js';
-import { RequestLog, silentRequests, type Trace } from '../logs/request_log.js';
+import { RequestLog, silentRequestLog, type Trace } from '../logs/request_log.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { Attempts } from './attempts.js';
@@ -95,7 +95,7 @@
     private readonly uplink: Uplink = new Uplink(clock),
     private readonly disconnectCheck = new DisconnectCheck(clock),
   ) {
-    this.requestLog = silentRequests(clock);
+    this.requestLog = silentRequestLog(clock);
     this.#callerVisibleHeaders = new Set([
       ...CALLER_VISIBLE_HEADERS,
       ...dialect.allowedFromUpstreams,
@@ -302,7 +302,7 @@
   ): void {
     const { instance, dataCentre } = endpoint.member;
     const seen = this.balancer.snapshotOf(endpoint);
-    trace.note({ event: 'sent', exchange, endpoint: instance, dataCentre, attempt, ...seen });
+    trace.add({ event: 'sent', exchange, endpoint: instance, dataCentre, attempt, ...seen });
   }
 
   #noteFailed(
@@ -312,7 +312,7 @@
     { verdict, reason, message }: OutcomeError,
     tookMs: number,
   ): void {
-    trace.note({
+    trace.add({
       event: 'attempt-failed',
       exchange,
       endpoint: member.instance,
--- a/src/requests/guard.ts
+++ b/src/requests/guard.ts
@@ -3,7 +3,7 @@
 import { type Readable } from 'node:stream';
 import { Configuration } from '../configuration/configuration.js';
 import { asOutcome, notRun } from '../contracts.js';
-import { type RequestLog, silentRequests } from '../logs/request_log.js';
+import { type RequestLog, silentRequestLog } from '../logs/request_log.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Body, EmptyBody, hasBody, PeekedBody, StreamedBody } from './body.js';
 import { type Claims } from '../claims/claims.js';
@@ -96,7 +96,7 @@
     private readonly disconnectCheck = new DisconnectCheck(clock),
   ) {
     this.limit = new ConcurrencyLimiter(clock, DEFAULT_SLOTS);
-    this.requestLog = silentRequests(clock);
+    this.requestLog = silentRequestLog(clock);
     this.#connections = new ConnectionPool(clock, MAX_CONNECTIONS);
     const serve = (request: IncomingMessage, response: ServerResponse) =>
       void this.#serve(request, response);
@@ -216,7 +216,7 @@
   #parseRequest(arrival: Arrival): GuardRequest {
     const { request, trace } = arrival;
     const upstream = headerOf(request, UPSTREAM) ?? 'nothing';
-    trace.about = { route: headerOf(request, ROUTE) ?? '', upstream };
+    trace.destination = { route: headerOf(request, ROUTE) ?? '', upstream };
     return guardRequestOf(arrival, this.#requireEndpoint(upstream), this.configuration());
   }
 
@@ -277,7 +277,7 @@
 
   #noteAdmitted({ request, trace }: GuardRequest): void {
     const { inFlight, slots, waiting } = this.limit.load;
-    trace.note({
+    trace.add({
       event: 'admitted',
       exchange: headerOf(request, EXCHANGE_ID) ?? '',
       waitedMs: Math.round(this.clock.now() - trace.startedAt),
--- a/src/test/daemon/last_words_test.ts
+++ b/src/test/daemon/uncaught_exception_test.ts
@@ -5,8 +5,8 @@
 
 const execFileAsync = promisify(execFile);
 const PROGRAM = `
-import { sayLastWords } from './src/daemon/last_words.ts';
-sayLastWords('arima-1');
+import { exitOnUncaughtException } from './src/daemon/uncaught_exception.ts';
+exitOnUncaughtException('arima-1');
 setTimeout(() => { FAULT }, 1);
 setTimeout(() => {}, 60_000);
 `;
--- a/src/test/logs/request_log_test.ts
+++ b/src/test/logs/request_log_test.ts
@@ -28,7 +28,7 @@
     const startedAt = time.clock.now();
     const trace = logOf(log).begin('r-1');
     await time.advance(5);
-    trace.note(RESENT);
+    trace.add(RESENT);
     expect(log.lines).to.deep.equal([]);
     await time.advance(7);
     trace.failed('entry-ended', { statusCode: 503 }, OVERLOADED, false);
@@ -44,7 +44,7 @@
       requests.begin(`ok-${count}`).answered('entry-ended', { statusCode: 200 });
     }
     const failed = requests.begin('failed');
-    failed.note(RESENT);
+    failed.add(RESENT);
     failed.failed('entry-ended', { statusCode: 503 }, OVERLOADED, false);
     expect(log.lines.filter(({ level }) => level === 'debug')).to.have.length(20);
     expect(log.lines.filter(({ level }) => level === 'warn')).to.have.length(2);
@@ -76,7 +76,7 @@
     const requests = logOf(log);
     for (let count = 0; count < 1_000; count++) {
       const trace = requests.begin(`no-${count}`);
-      trace.note(RESENT);
+      trace.add(RESENT);
       trace.failed('entry-ended', { statusCode: 503 }, OVERLOADED, false);
     }
     expect(log.lines).to.have.length(20 * 2 + 200);
@@ -86,7 +86,7 @@
   it('keeps the first and the latest decisions of a request with many attempts', () => {
     const log = new MemoryLog('warn');
     const trace = logOf(log).begin('r-1');
-    for (let startMs = 0; startMs < 100; startMs++) trace.note({ ...RESENT, startMs });
+    for (let startMs = 0; startMs < 100; startMs++) trace.add({ ...RESENT, startMs });
     trace.failed('entry-ended', { statusCode: 502 }, OVERLOADED, false);
     expect(log.lines).to.have.length(24);
     expect(log.lines[0]?.event).to.deep.include({ startMs: 0 });
