--- a/src/test/tool/explain/explain_test.ts
+++ b/src/test/tool/explain/explain_test.ts
@@ -3,8 +3,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parseLine, readLogLines } from '../../../tool/explain/log_lines.js';
-import { renderStory } from '../../../tool/explain/render_story.js';
-import { storyOf } from '../../../tool/explain/story.js';
+import { renderTimeline } from '../../../tool/explain/render_story.js';
+import { buildTimeline } from '../../../tool/explain/story.js';
 import { type Line } from '../../../logs/events.js';
 
 const AT = Date.UTC(2026, 11, 3);
@@ -49,8 +49,8 @@
   tookMs: 2,
 };
 
-/** Lines of two processes, in the order in which a collector might have got them. */
-const REFUSED = [
+/** Lines of several processes, out of order as a log collector may deliver them. */
+const REFUSAL_LINES = [
   line('arima-2', 1, {
     id: 'r-1',
     event: 'guard-ended',
@@ -100,29 +100,31 @@
 ];
 
 describe('explain', () => {
-  // A guest was refused while an instance was stopped. The engineer has the id and the lines of
-  // all processes in no order, and wants the story of that request and no other.
-  it('puts the lines of one request in order and names its cause', () => {
-    const story = storyOf('r-1', { lines: linesOf(REFUSED), unreadable: 0 });
-    expect(renderStory(story)).toMatchSnapshot();
+  // A request was refused while an instance shut down. Guards against lines of other requests, or of
+  // processes that were not involved, in its timeline.
+  it('shows the log lines of one request in time order and explains how it ended', () => {
+    const timeline = buildTimeline('r-1', { lines: linesOf(REFUSAL_LINES), unreadable: 0 });
+    expect(renderTimeline(timeline)).toMatchSnapshot();
   });
 
-  it('finds the other process by the exchange where the caller gave no id', () => {
-    const other = REFUSED.map((text) =>
+  it('matches lines without a request id by their exchange', () => {
+    const withoutId = REFUSAL_LINES.map((text) =>
       text.replace('"id":"r-1","event":"guard', '"event":"guard'),
     );
-    const story = storyOf('r-1', { lines: linesOf(other), unreadable: 0 });
-    expect(story.lines.map(({ event }) => event)).to.include('guard-ended');
+    const timeline = buildTimeline('r-1', { lines: linesOf(withoutId), unreadable: 0 });
+    expect(timeline.lines.map(({ event }) => event)).to.include('guard-ended');
   });
 
-  it('says what is not known of a request that no line ends', () => {
-    const lines = linesOf(REFUSED.filter((text) => !text.includes('entry-ended')));
-    expect(renderStory(storyOf('r-1', { lines, unreadable: 0 }))).to.match(/cause: .*was killed/);
-    expect(renderStory(storyOf('r-9', { lines, unreadable: 3 }))).toMatchSnapshot();
+  it('states what is unknown about a request without a logged end', () => {
+    const lines = linesOf(REFUSAL_LINES.filter((text) => !text.includes('entry-ended')));
+    expect(renderTimeline(buildTimeline('r-1', { lines, unreadable: 0 }))).to.match(
+      /cause: .*was killed/,
+    );
+    expect(renderTimeline(buildTimeline('r-9', { lines, unreadable: 3 }))).toMatchSnapshot();
   });
 
-  // A commission may have run and is not sent again. The engineer must read that from the story.
-  it('says why what may have run was not sent again', () => {
+  // Guards against a timeline that does not say why a non-repeatable request was not retried.
+  it('explains why a request that may have run was not retried', () => {
     const texts = [
       line('arima-1', 0, { id: 'r-1', ...ROUTED, isRepeatable: false }),
       line('arima-1', 1, { id: 'r-1', ...SENT }),
@@ -144,12 +146,12 @@
         tookMs: 9,
       }),
     ];
-    const story = storyOf('r-1', { lines: linesOf(texts), unreadable: 0 });
-    expect(renderStory(story).split('\n').at(-1)).toMatchSnapshot();
+    const timeline = buildTimeline('r-1', { lines: linesOf(texts), unreadable: 0 });
+    expect(renderTimeline(timeline).split('\n').at(-1)).toMatchSnapshot();
   });
 
-  // Logs come with what a collector puts in front, and with lines that were cut off or mixed.
-  it('passes over what is not a line, counts what is damaged, and reads a line behind it', async () => {
+  // Log collectors add prefixes and may truncate or interleave lines; whole lines must not be lost.
+  it('skips other text, counts damaged lines, and reads a whole line after a damaged one', async () => {
     const file = join(await mkdtemp(join(tmpdir(), 'explain-')), 'log');
     const whole = line('arima-1', 0, { event: 'stopping' });
     const texts = [
@@ -164,7 +166,7 @@
     expect(unreadable).to.equal(1);
   });
 
-  it('fails clearly when a file is not there', async () => {
+  it('rejects with the path of a missing file', async () => {
     let message = '';
     try {
       await readLogLines(['/nowhere/log']);
--- a/src/test/tool/main_test.ts
+++ b/src/test/tool/main_test.ts
@@ -9,10 +9,10 @@
 
 const NOTE = 'id: opening\nauthor: dana\nadd: { upstreams: [{ name: listings }] }\n';
 
-describe('the tool', () => {
-  // Every command once ended with an unknown option that nobody had given: the address from the
-  // environment was written among the flags. So all of them run here against a real process.
-  it('asks where the environment says, and ends with the documented codes', async () => {
+describe('main', () => {
+  // Guards against the address from the environment being rejected as an unknown option of some
+  // command; so every command that calls a process runs here against a real one.
+  it('calls the address from the environment and exits with the documented codes', async () => {
     await using fleet = await Fleet.start(new MachineClock(), {
       dataCentres: ['arima'],
       upstreams: ['listings'],
@@ -21,7 +21,7 @@
     const folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
     const file = join(folder, 'note.yaml');
     await writeFile(file, NOTE);
-    const run = (...args: string[]) => quietly(args, { BARLEYHAVEN_TO: `127.0.0.1:${port}` });
+    const run = (...args: string[]) => runSilently(args, { BARLEYHAVEN_TO: `127.0.0.1:${port}` });
     expect(await run('check', file)).to.equal(EXIT.ok);
     expect(await run('submit', file)).to.equal(EXIT.ok);
     await writeFile(file, 'id: other\nauthor: omar\nadd: { colours: [] }\n');
@@ -35,24 +35,23 @@
     await rm(folder, { recursive: true });
   });
 
-  // On-call engineers put it into scripts: logs that tell nothing, or are not there, must not look
-  // like a day without losses.
-  it('fails when logs have no counts of requests in them', async () => {
+  // Guards against scripts reading missing or empty logs as a period without losses.
+  it('exits as failed if the logs are missing or contain no tally lines', async () => {
     const folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
     const [empty, counted] = [join(folder, 'empty.log'), join(folder, 'counted.log')];
     const stamp = { level: 'info', at: 1, instance: 'arima-1', event: 'tally' };
     const ends = { asked: 1, returned: 0, inTime: 1, late: 0, refused: 0, failed: 0, reasons: {} };
     await writeFile(empty, 'not one of our lines\n');
     await writeFile(counted, JSON.stringify({ ...stamp, route: 'a', upstream: 'b', ...ends }));
-    expect(await quietly(['losses', empty], {})).to.equal(EXIT.failed);
-    expect(await quietly(['losses', join(folder, 'missing.log')], {})).to.equal(EXIT.failed);
-    expect(await quietly(['losses', counted, '--json'], {})).to.equal(EXIT.ok);
+    expect(await runSilently(['losses', empty], {})).to.equal(EXIT.failed);
+    expect(await runSilently(['losses', join(folder, 'missing.log')], {})).to.equal(EXIT.failed);
+    expect(await runSilently(['losses', counted, '--json'], {})).to.equal(EXIT.ok);
     await rm(folder, { recursive: true });
   });
 });
 
-/** Runs the tool and drops what it prints. */
-async function quietly(args: string[], environment: NodeJS.ProcessEnv): Promise<number> {
+/** Runs the tool and discards its output. */
+async function runSilently(args: string[], environment: NodeJS.ProcessEnv): Promise<number> {
   const { stdout, stderr } = process;
   const [out, error] = [stdout.write, stderr.write];
   stdout.write = () => true;
--- a/src/test/tool/note_commands_test.ts
+++ b/src/test/tool/note_commands_test.ts
@@ -10,31 +10,31 @@
 
 const NOTE = 'id: opening\nauthor: dana\nadd: { upstreams: [{ name: listings }] }\n';
 
-/** Ends a call as a process might. */
-type Ending = (response: ServerResponse) => void;
+/** Ends a call the way a process could. */
+type AnswerCall = (response: ServerResponse) => void;
 
-async function listening(server: Server): Promise<number> {
+async function listen(server: Server): Promise<number> {
   server.listen(0, '127.0.0.1');
   await once(server, 'listening');
   return (server.address() as AddressInfo).port;
 }
 
-/** Runs a command on a text; the process asked ends the call so. */
-async function run(command: string, text: string, ending: Ending, isOpen = true) {
+/** Runs a command on a note file against a server that ends the call with `ending`. */
+async function run(command: string, text: string, ending: AnswerCall, isListening = true) {
   const folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
   const file = join(folder, 'note.yaml');
   await writeFile(file, text);
   const server = createServer((request, response) => {
     request.resume().on('end', () => ending(response));
   });
-  const port = await listening(server);
-  if (!isOpen) server.close();
+  const port = await listen(server);
+  if (!isListening) server.close();
   const printed: string[] = [];
   const { stdout, stderr } = process;
   const [out, error] = [stdout.write, stderr.write];
-  const keep = (chunk: unknown) => printed.push(String(chunk)) > 0;
-  stdout.write = keep;
-  stderr.write = keep;
+  const capture = (chunk: unknown) => printed.push(String(chunk)) > 0;
+  stdout.write = capture;
+  stderr.write = capture;
   try {
     const code = await main(['node', 'tool', command, file, '--to', `127.0.0.1:${port}`], {});
     return { code, printed: printed.join('').replaceAll(String(port), 'PORT') };
@@ -46,37 +46,38 @@
   }
 }
 
-const answering =
-  (body: object): Ending =>
+const answerWith =
+  (body: object): AnswerCall =>
   (response) =>
     response.end(JSON.stringify({ jsonrpc: '2.0', id: 1, ...body }));
 
-const submit = (text: string, ending: Ending, isOpen = true) => run('submit', text, ending, isOpen);
+const submit = (text: string, ending: AnswerCall, isListening = true) =>
+  run('submit', text, ending, isListening);
 
 describe('submit', () => {
-  // The process gets the note and dies, or answers without knowing, so it may have been accepted.
-  // The tool's exit code says that it is not known, which a script must not take for a failure.
-  it('ends with its own code when it is not known whether the note was accepted', async () => {
+  // The process dies with the note, or reports an unknown outcome. Guards against an exit code that
+  // a script would take for a failure although the note may have been accepted.
+  it('exits with a code of its own if the note may have been accepted', async () => {
     const gone = await submit(NOTE, (response) => response.destroy());
     const data = { verdict: 'may-have-run', reason: 'unsettled' };
     const unsettled = await submit(
       NOTE,
-      answering({ error: { code: -32000, message: 'hand it in again', data } }),
+      answerWith({ error: { code: -32000, message: 'hand it in again', data } }),
     );
     expect([gone.code, unsettled.code]).to.deep.equal([EXIT.unknown, EXIT.unknown]);
     expect(unsettled.printed).toMatchSnapshot();
   });
 
-  // No process listens. A good note was surely not accepted; of a bad one the problems are shown
-  // all the same, with a hint that the audit trail does not have them.
-  it('tells what it can by itself when no process is reached', async () => {
+  // No process listens. Guards against hiding the problems of an invalid note in that case, or the
+  // warning that the audit trail may lack the refusal.
+  it('checks the note locally if no process can be reached', async () => {
     const good = await submit(NOTE, () => {}, false);
     const bad = await submit('id: opening\ncolour: blue\n', () => {}, false);
     expect([good.code, bad.code]).to.deep.equal([EXIT.failed, EXIT.refused]);
     expect(bad.printed).toMatchSnapshot();
   });
 
-  it('names the resources and the other note of a conflict', async () => {
+  it('prints the resources and the other note of a conflict', async () => {
     const result = {
       outcome: 'conflict',
       resources: ['route/menus'],
@@ -84,15 +85,15 @@
       audited: true,
     };
     const unaudited = { ...result, audited: false };
-    expect(await submit(NOTE, answering({ result }))).toMatchSnapshot();
-    expect(await submit(NOTE, answering({ result: unaudited }))).toMatchSnapshot();
+    expect(await submit(NOTE, answerWith({ result }))).toMatchSnapshot();
+    expect(await submit(NOTE, answerWith({ result: unaudited }))).toMatchSnapshot();
   });
 });
 
 describe('check', () => {
-  // The process dies while it checks. Nothing could have been accepted by that, so the exit code
-  // is that of a failure, not the one that asks for the note to be handed in again.
-  it('fails without doubt, since it writes nothing', async () => {
+  // Nothing can be accepted by a check. Guards against the exit code for an unknown outcome, which
+  // asks for the note to be submitted again.
+  it('exits as failed if the process dies, since it writes nothing', async () => {
     const { code } = await run('check', NOTE, (response) => response.destroy());
     expect(code).to.equal(EXIT.failed);
   });
--- a/src/test/tool/render_fleet_test.ts
+++ b/src/test/tool/render_fleet_test.ts
@@ -15,7 +15,7 @@
 };
 
 describe('renderFleet', () => {
-  it('lists the processes by data centre and name', () => {
+  it('sorts the processes by data centre and name', () => {
     const endpoint = { upstream: 'listings', state: 'draining', slots: 20 } as const;
     const members = [
       { ...MEMBER, instance: 'san-fernando-1', dataCentre: 'san-fernando' },
--- a/src/test/tool/render_status_test.ts
+++ b/src/test/tool/render_status_test.ts
@@ -6,7 +6,7 @@
 const ACCEPTED = Date.UTC(2026, 11, 2, 18, 0, 0);
 const MINUTE_MS = 60_000;
 
-const WHOLE: Status = {
+const FULL_STATUS: Status = {
   asOf: ACCEPTED + 4 * MINUTE_MS,
   head: 12,
   isLogRead: true,
@@ -31,21 +31,21 @@
 };
 
 describe('renderStatus', () => {
-  it('shows who holds each version', () => {
-    expect(renderStatus(WHOLE)).toMatchSnapshot();
+  it('shows how many processes hold each version', () => {
+    expect(renderStatus(FULL_STATUS)).toMatchSnapshot();
   });
 
-  it('shows how far roll-outs are', () => {
+  it('shows the phase of each roll-out', () => {
     const rollouts = [
       orderOf({ phase: 'proof' }),
       orderOf({ upstream: 'bookings', version: 'v3', phase: 'rolled-back', durationMs: 12_000 }),
     ];
-    expect(renderStatus({ ...WHOLE, rollouts })).toMatchSnapshot();
+    expect(renderStatus({ ...FULL_STATUS, rollouts })).toMatchSnapshot();
   });
 
-  // One proxy refuses the latest version, two do not answer, and a data centre is cut off. The
-  // operator sees each of them apart; none is counted among those that hold the version.
-  it('counts nobody as holding a version who has not said so', () => {
+  // Guards against counting a process that refuses the version, does not answer or is in an
+  // unreachable data centre among those that hold it. Each case is listed separately.
+  it('counts only processes that answered as holding a version', () => {
     const survey = {
       holding: [
         { version: 12, processes: 6 },
@@ -58,12 +58,12 @@
       unknown: ['arima-1', 'arima-2'],
       unreached: ['port-of-spain'],
     };
-    expect(renderStatus({ ...WHOLE, survey })).toMatchSnapshot();
+    expect(renderStatus({ ...FULL_STATUS, survey })).toMatchSnapshot();
   });
 
-  it('says that it knows no more than one process where the platform is not reached', () => {
+  it('warns that versions may be missing if the platform cannot be reached', () => {
     const versions = [{ number: 11, note: 'opening', acceptedAt: ACCEPTED }];
-    const partial = { ...WHOLE, head: 11, isLogRead: false, versions };
+    const partial = { ...FULL_STATUS, head: 11, isLogRead: false, versions };
     expect(renderStatus(partial)).toMatchSnapshot();
     expect(renderStatus({ ...partial, versions: [] })).toMatchSnapshot();
   });
--- a/src/tool/client.ts
+++ b/src/tool/client.ts
@@ -1,4 +1,4 @@
-/** Calls the operators' port of a process. */
+/** JSON-RPC client for the operators' port of a process. */
 import { request } from 'node:http';
 import {
   createJSONRPCRequest,
@@ -11,18 +11,18 @@
 import * as z from 'zod';
 import { OutcomeError, Verdict } from '../contracts.js';
 
-/** Longer than a process takes to answer, so that its own verdict arrives first. */
+/** Longer than a process takes to respond, so that its own verdict arrives first. */
 const TIMEOUT_MS = 30_000;
 const STATUS_OK = 200;
 
-/** What a process adds to an error. */
-const Told = z.object({ verdict: Verdict.optional(), reason: z.string().optional() });
+/** The `data` that a process adds to a JSON-RPC error. */
+const ErrorData = z.object({ verdict: Verdict.optional(), reason: z.string().optional() });
 
 export class Client {
   readonly #rpc: JSONRPCClient;
 
-  /** Why calls got no answer, by their id; the library keeps no more of it than the message. */
-  readonly #unanswered = new Map<JSONRPCID, OutcomeError>();
+  /** Errors of calls without a valid response, by call id; the library keeps only their message. */
+  readonly #failures = new Map<JSONRPCID, OutcomeError>();
 
   #lastId = 0;
 
@@ -30,14 +30,14 @@
     this.#rpc = new JSONRPCClient((payload: JSONRPCRequest) => this.#send(payload));
   }
 
-  /** Throws `OutcomeError`, whose verdict tells whether the process may have acted on the call. */
+  /** Rejects with an `OutcomeError`, whose verdict says whether the process may have run the call. */
   async call<T>(method: string, params: unknown = {}): Promise<T> {
     this.#lastId += 1;
     const id = this.#lastId;
     const answer = await this.#rpc.requestAdvanced(createJSONRPCRequest(id, method, params));
     if (!answer.error) return answer.result as T;
-    const failure = this.#unanswered.get(id);
-    this.#unanswered.delete(id);
+    const failure = this.#failures.get(id);
+    this.#failures.delete(id);
     throw failure ?? outcomeOf(answer.error);
   }
 
@@ -46,8 +46,8 @@
       const answer = await this.#post(JSON.stringify(payload));
       this.#rpc.receive(JSON.parse(answer) as JSONRPCResponse);
     } catch (error) {
-      const outcome = error instanceof OutcomeError ? error : garbled(error);
-      this.#unanswered.set(payload.id ?? null, outcome);
+      const outcome = error instanceof OutcomeError ? error : invalidResponse(error);
+      this.#failures.set(payload.id ?? null, outcome);
       throw outcome;
     }
   }
@@ -55,7 +55,7 @@
   #post(body: string): Promise<string> {
     return new Promise((resolve, reject) => {
       let verdict: Verdict = 'not-run';
-      const fail = (cause: Error) => reject(unanswered(this.address, verdict, cause));
+      const fail = (cause: Error) => reject(callFailed(this.address, verdict, cause));
       const outgoing = request(`http://${this.address}/rpc`, { method: 'POST' }, (answer) => {
         const chunks: Buffer[] = [];
         answer.on('data', (chunk: Buffer) => chunks.push(chunk));
@@ -63,11 +63,13 @@
         answer.on('end', () => {
           const text = Buffer.concat(chunks).toString();
           if (answer.statusCode === STATUS_OK) resolve(text);
-          else reject(turnedAway(text));
+          else reject(callRejected(text));
         });
       });
-      outgoing.setTimeout(TIMEOUT_MS, () => outgoing.destroy(new Error('no answer')));
-      // Before the connection stands nothing can have been handed over.
+      outgoing.setTimeout(TIMEOUT_MS, () =>
+        outgoing.destroy(new Error(`no response within ${TIMEOUT_MS} ms`)),
+      );
+      // Until the connection is established nothing can have been sent.
       outgoing.on('socket', (socket) => {
         const sent = () => {
           verdict = 'may-have-run';
@@ -81,24 +83,27 @@
   }
 }
 
-/** The error as the process told it; one that comes without a verdict proves nothing. */
+/** The error as the process reported it. Without a verdict the call may have run. */
 function outcomeOf({ message, data }: JSONRPCError): OutcomeError {
-  const told = Told.catch({}).parse(data);
-  const { verdict = 'may-have-run', reason = 'failed' } = told;
+  const errorData = ErrorData.catch({}).parse(data);
+  const { verdict = 'may-have-run', reason = 'failed' } = errorData;
   return new OutcomeError(message, { verdict, reason });
 }
 
-function garbled(cause: unknown): OutcomeError {
-  const message = 'the answer cannot be read';
+function invalidResponse(cause: unknown): OutcomeError {
+  const message = 'the response is not valid JSON-RPC';
   return new OutcomeError(message, { verdict: 'may-have-run', reason: 'garbled' }, { cause });
 }
 
-function unanswered(address: string, verdict: Verdict, cause: Error): OutcomeError {
-  const message = `${address} cannot be asked: ${cause.message}`;
+function callFailed(address: string, verdict: Verdict, cause: Error): OutcomeError {
+  const message = `call to ${address} failed: ${cause.message}`;
   return new OutcomeError(message, { verdict, reason: 'unreachable' }, { cause });
 }
 
-/** The process does not look into a call that it answers so. */
-function turnedAway(text: string): OutcomeError {
-  return new OutcomeError(`turned away: ${text}`, { verdict: 'not-run', reason: 'turned-away' });
+/** For a response other than 200, with which the process rejects a call without running it. */
+function callRejected(text: string): OutcomeError {
+  return new OutcomeError(`call rejected before it was run: ${text}`, {
+    verdict: 'not-run',
+    reason: 'turned-away',
+  });
 }
--- a/src/tool/explain/cause.ts
+++ b/src/tool/explain/cause.ts
@@ -1,85 +1,91 @@
-/** Names the cause of what became of a request, from its lines. */
+/** Explains in one paragraph how a request ended and why, from its log lines. */
 import { type Line } from '../../logs/events.js';
-import { type Story } from './story.js';
+import { type RequestTimeline } from './story.js';
 
-type Of<Event extends Line['event']> = Extract<Line, { readonly event: Event }>;
+type LineOf<Event extends Line['event']> = Extract<Line, { readonly event: Event }>;
 
-/** What each reason means for the request, and for whoever looks into it. */
-const MEANINGS: Readonly<Record<string, string>> = {
-  'no-route': 'no route of the configuration in force there fits',
-  'not-ready': 'the process knew no configuration yet',
-  'no-endpoint': 'no upstream instance was known that takes work',
-  overloaded: 'no slot would have been free in time',
-  shed: 'the upstream instance itself had no room',
-  draining: 'the upstream instance, or the process beside it, was leaving',
-  deadline: 'no answer came within the time that the caller, or the route, gave it',
-  cancelled: 'the caller went away first',
-  unreachable: 'no connection to the process beside the upstream instance could be made',
-  unacknowledged: 'the process beside the upstream instance did not react',
+/** Explanation of each reason for which a request can end. */
+const REASON_TEXTS: Readonly<Record<string, string>> = {
+  'no-route': 'no route of the active configuration matches',
+  'not-ready': 'the process had no configuration yet',
+  'no-endpoint': 'no upstream instance that accepts requests was known',
+  overloaded: 'no slot would have become free in time',
+  shed: 'the upstream instance itself was at capacity',
+  draining: 'the upstream instance or its sidecar process was shutting down',
+  deadline: 'no response arrived within the timeout of the caller or the route',
+  cancelled: 'the caller disconnected first',
+  unreachable: 'no connection to the sidecar process of the upstream instance could be made',
+  unacknowledged: 'the sidecar process of the upstream instance did not acknowledge the request',
   connection: 'the connection broke after the request had been sent',
-  silent: 'the answer came to a standstill',
-  crossed: 'the answer belonged to another request',
-  quarantined: 'the request has crashed upstream instances and is kept out',
-  'store-unavailable': 'the platform did not take the claim for its single run',
+  silent: 'the response stalled',
+  crossed: 'the response belonged to another request',
+  quarantined: 'the request is quarantined because it crashed upstream instances',
+  'store-unavailable':
+    'the platform did not store the claim that ensures the request runs at most once',
 };
 
 /** Why the request was not sent to another upstream instance. */
-const DENIALS: Readonly<Record<string, string>> = {
-  'not-sendable': 'nobody waited for it any more, or its body was not kept',
+const DENIAL_TEXTS: Readonly<Record<string, string>> = {
+  'not-sendable': 'its caller was no longer waiting, or its body was not buffered',
   'no-other-endpoint': 'there was no other endpoint',
-  'retries-off': 'its limit allows no retries',
-  'attempts-used': 'its route allows no more attempts',
-  'moves-used': 'two other endpoints had refused it as well',
-  'not-repeatable': 'it must not run twice, and may have run',
-  'budget-spent': 'the budget for retries was spent, or no time was left',
+  'retries-off': 'its limit disables retries',
+  'attempts-used': 'it had used all attempts that its route allows',
+  'moves-used': 'two other endpoints had refused it too',
+  'not-repeatable': 'it may have run already and must not run twice',
+  'budget-spent': 'the retry budget was used up or no time was left',
 };
 
 const SERVER_ERROR = 500;
 
-/** One paragraph; says so where the lines do not tell. */
-export function causeOf(story: Story): string {
-  const ended = last(story, 'entry-ended');
-  if (!ended) return withoutEntry(story);
-  if (ended.verdict === 'ran') return answered(ended, story);
-  const parts = [`${sentenceOf(ended)}.`, ...attemptsOf(story), ...inputsOf(story)];
-  const denial = last(story, 'not-resent');
-  if (denial) parts.push(`It was not sent again: ${DENIALS[denial.denial] ?? denial.denial}.`);
+/** States explicitly what the lines do not show, such as a missing end of the request. */
+export function causeOf(timeline: RequestTimeline): string {
+  const ended = findLastLine(timeline, 'entry-ended');
+  if (!ended) return missingEndText(timeline);
+  if (ended.verdict === 'ran') return answerText(ended, timeline);
+  const parts = [
+    `${endText(ended)}.`,
+    ...failedAttemptTexts(timeline),
+    ...stateChangeTexts(timeline),
+  ];
+  const denial = findLastLine(timeline, 'not-resent');
+  if (denial) parts.push(`It was not retried: ${DENIAL_TEXTS[denial.denial] ?? denial.denial}.`);
   return parts.join(' ');
 }
 
-function sentenceOf({ verdict, reason, message, retryAfterMs }: Of<'entry-ended'>): string {
-  const meaning = MEANINGS[reason] ?? message ?? reason;
-  const what = verdict === 'cut' ? 'Its answer was cut' : `It ended ${verdict}`;
-  const when = retryAfterMs === undefined ? '' : `; the caller was told to wait ${retryAfterMs} ms`;
+function endText({ verdict, reason, message, retryAfterMs }: LineOf<'entry-ended'>): string {
+  const meaning = REASON_TEXTS[reason] ?? message ?? reason;
+  const what = verdict === 'cut' ? 'Its response was cut off' : `It ended as ${verdict}`;
+  const when =
+    retryAfterMs === undefined ? '' : `; the caller was told to retry after ${retryAfterMs} ms`;
   return `${what} (${reason}): ${meaning}${when}`;
 }
 
-function answered({ status, tookMs }: Of<'entry-ended'>, { lines }: Story): string {
+function answerText({ status, tookMs }: LineOf<'entry-ended'>, { lines }: RequestTimeline): string {
   const isFailure = (status ?? 0) >= SERVER_ERROR;
-  const admitted = lines.find((line): line is Of<'admitted'> => line.event === 'admitted');
-  const waited = admitted ? `, of which ${admitted.waitedMs} ms before it was begun` : '';
+  const admitted = lines.find((line): line is LineOf<'admitted'> => line.event === 'admitted');
+  const waited = admitted ? `, including ${admitted.waitedMs} ms in the queue` : '';
   const what = `The upstream instance answered ${status} after ${tookMs} ms${waited}`;
-  return isFailure ? `${what}; that failure is its own.` : `${what}.`;
+  return isFailure ? `${what}; the error comes from the instance itself.` : `${what}.`;
 }
 
-/** Where each failed attempt went, and what the far end says of it. */
-function attemptsOf({ lines }: Story): string[] {
+/** Endpoint and reason of each failed attempt, with what the guard at that endpoint logged. */
+function failedAttemptTexts({ lines }: RequestTimeline): string[] {
   return lines
-    .filter((line): line is Of<'attempt-failed'> => line.event === 'attempt-failed')
+    .filter((line): line is LineOf<'attempt-failed'> => line.event === 'attempt-failed')
     .map(({ endpoint, reason, exchange, tookMs }) => {
       const guard = lines.find(
-        (line): line is Of<'guard-ended'> =>
+        (line): line is LineOf<'guard-ended'> =>
           line.event === 'guard-ended' && line.exchange === exchange,
       );
-      const said = guard
-        ? ` (there: ${guard.reason}, ${guard.inFlight} of ${guard.slots} slots in use, ${guard.waiting} waiting)`
-        : ' (nothing is written there)';
-      return `${endpoint} failed it with ${reason} after ${tookMs} ms${said}.`;
+      const guardText = guard
+        ? ` (logged there: ${guard.reason}, ${guard.inFlight} of ${guard.slots} slots in use, ${guard.waiting} waiting)`
+        : ' (nothing was logged there)';
+      return `The attempt at ${endpoint} failed with ${reason} after ${tookMs} ms${guardText}.`;
     });
 }
 
-/** Changes around it that bear on the reason. */
-function inputsOf({ lines, around }: Story): string[] {
+/** State changes of the endpoints that were tried, shortly before or after the request. */
+function stateChangeTexts({ lines, around }: RequestTimeline): string[] {
   const tried = new Set(lines.map((line) => ('endpoint' in line ? line.endpoint : line.instance)));
   const found: string[] = [];
   for (const line of around) {
@@ -96,14 +102,18 @@
   return [...new Set(found)];
 }
 
-function withoutEntry({ lines, dropped }: Story): string {
-  const lost = dropped > 0 ? `${dropped} lines were dropped` : 'no lines are said to be dropped';
+function missingEndText({ lines, dropped }: RequestTimeline): string {
+  const droppedText =
+    dropped > 0 ? `${dropped} log lines were dropped` : 'no dropped log lines were reported';
   if (lines.length === 0) {
-    return `No line names it (${lost}). Either it was served and left out, it never reached a process, or the process that took it was killed before it ended.`;
+    return `No log line contains its id (${droppedText}). Either it was served and not logged, it never reached a process, or the process that accepted it was killed before it ended.`;
   }
-  return `The process that took it from its caller has written no end of it (${lost}): that process was killed, or its lines are not in these files.`;
+  return `The process that accepted it from its caller did not log its end (${droppedText}): that process was killed, or its log lines are not in these files.`;
 }
 
-function last<Event extends Line['event']>({ lines }: Story, event: Event): Of<Event> | undefined {
-  return lines.findLast((line): line is Of<Event> => line.event === event);
+function findLastLine<Event extends Line['event']>(
+  { lines }: RequestTimeline,
+  event: Event,
+): LineOf<Event> | undefined {
+  return lines.findLast((line): line is LineOf<Event> => line.event === event);
 }
--- a/src/tool/explain/log_lines.ts
+++ b/src/tool/explain/log_lines.ts
@@ -1,21 +1,20 @@
-/** Reads lines that processes wrote, from files or standard input. */
+/** Reads log lines of processes from files or standard input. */
 import { createReadStream } from 'node:fs';
 import { createInterface } from 'node:readline';
 import { type Readable } from 'node:stream';
 import { Line } from '../../logs/events.js';
 
-/** How each line begins, since the level is written first. */
+/** Start of every log line: `level` is the first field. */
 const LINE_START = '{"level"';
 const STANDARD_INPUT = '-';
 
-/** What was read, and how much of it could not be. */
 export interface LogLines {
   readonly lines: readonly Line[];
-  /** Lines that look like ours and are not: cut off, or of another release. */
+  /** Lines that look like log lines of this software but do not parse: truncated, or of another release. */
   readonly unreadable: number;
 }
 
-/** Reads all files in turn; without any, or for `-`, standard input. Rejects if one is missing. */
+/** Reads the files in order; `-`, or an empty list, means standard input. Rejects if a file is missing. */
 export async function readLogLines(files: readonly string[]): Promise<LogLines> {
   const lines: Line[] = [];
   let unreadable = 0;
@@ -31,8 +30,8 @@
 }
 
 /**
- * Whatever a collector has put in front of a line is passed over, also the beginning of another
- * line that it has cut off.
+ * Parses one log line; undefined if it is none. Skips anything before the line, such as a
+ * collector's prefix or the beginning of another, truncated line.
  */
 export function parseLine(text: string): Line | undefined {
   const start = text.lastIndexOf(LINE_START);
@@ -46,7 +45,7 @@
 }
 
 async function* textsOf(input: Readable): AsyncGenerator<string> {
-  // An error of the stream would not end the loop over its lines.
+  // The iterator of readline does not end when the input stream fails.
   const failed = new Promise<never>((_, reject) => {
     input.once('error', reject);
   });
--- a/src/tool/losses/account.ts
+++ b/src/tool/losses/account.ts
@@ -1,15 +1,15 @@
-/** Adds up where requests were lost, from the lines of all processes. */
+/** Counts late, refused and failed requests from the log lines of all processes. */
 import { type Line } from '../../logs/events.js';
 import { type LogLines } from '../explain/log_lines.js';
-import { Rooms } from './rooms.js';
+import { FreeSlotHistory } from './rooms.js';
 
-type Of<Event extends Line['event']> = Extract<Line, { readonly event: Event }>;
+type LineOf<Event extends Line['event']> = Extract<Line, { readonly event: Event }>;
 
 const MS_PER_SECOND = 1_000;
 const UNKNOWN = 'unknown';
 
-/** Ends of requests; `asked` is the sum of the four others. */
-export interface Ends {
+/** Requests by outcome; `asked` is the sum of the other four. */
+export interface RequestCounts {
   asked: number;
   inTime: number;
   late: number;
@@ -17,46 +17,46 @@
   failed: number;
 }
 
-/** What happened on one route at the processes of one data centre, in one second. */
-export interface Row extends Ends {
-  /** Seconds since the first line. */
+/** Requests for one route at the processes of one data centre, in one second. */
+export interface Row extends RequestCounts {
+  /** Seconds since the earliest log line. */
   readonly second: number;
   readonly route: string;
   readonly dataCentre: string;
-  /** Of the callers, those who had been turned away before. */
+  /** Requests whose caller had been refused before. */
   returned: number;
-  /** Why requests were refused or failed. */
+  /** Number of refused and failed requests by reason. */
   readonly reasons: Record<string, number>;
 }
 
-/** Refusals for lack of room on one route, of which lines were kept. */
-export interface Crowding {
+/** Refusals of one route as overloaded, as far as their log lines were kept. */
+export interface OverloadRefusals {
   readonly route: string;
-  /** Refusals looked at. */
+  /** Number of refusals examined. */
   refusals: number;
-  /** Those at whose instant another endpoint of the upstream was seen with a slot free. */
+  /** Refusals at a time when the latest log line of some endpoint of the upstream showed a free slot. */
   withRoomElsewhere: number;
-  /** Those at which no line tells of the others. */
+  /** Refusals without a recent log line of any endpoint of the upstream. */
   unknown: number;
-  /** Average age of what was known of that endpoint, in milliseconds. */
+  /** Average age of the log lines that showed the free slots, in milliseconds. */
   ageMs: number;
 }
 
-export interface Account {
-  readonly total: Ends;
+export interface LossReport {
+  readonly total: RequestCounts;
   readonly rows: readonly Row[];
-  readonly crowding: readonly Crowding[];
-  /** Lines that look like ours and are not. */
+  readonly crowding: readonly OverloadRefusals[];
+  /** Lines that look like log lines of this software but do not parse. */
   readonly unreadable: number;
-  /** Lines that processes say they have dropped. */
+  /** Log lines that processes reported as dropped. */
   readonly dropped: number;
 }
 
-export function accountOf({ lines, unreadable }: LogLines): Account {
+export function buildLossReport({ lines, unreadable }: LogLines): LossReport {
   const startAt = lines.reduce((least, { at }) => Math.min(least, at), Infinity);
-  const dataCentres = dataCentresIn(lines);
+  const dataCentres = dataCentresByInstance(lines);
   const rows = new Map<string, Row>();
-  const total = noEnds();
+  const total = zeroCounts();
   let dropped = 0;
   for (const line of lines) {
     if (line.event === 'lines-dropped') dropped += line.routine + line.important;
@@ -68,20 +68,23 @@
       second,
       route: line.route,
       dataCentre,
-      ...noEnds(),
+      ...zeroCounts(),
       returned: 0,
       reasons: {},
     };
     rows.set(key, row);
-    addEnds(row, line);
-    addEnds(total, line);
+    addCounts(row, line);
+    addCounts(total, line);
     addReasons(row, line);
   }
-  const sorted = [...rows.values()].sort(bySecond);
-  return { total, rows: sorted, crowding: crowdingOf(lines), unreadable, dropped };
+  const sorted = [...rows.values()].sort(compareRows);
+  return { total, rows: sorted, crowding: overloadRefusals(lines), unreadable, dropped };
 }
 
-function addEnds(sum: Ends, { asked, inTime, late, refused, failed }: Ends): void {
+function addCounts(
+  sum: RequestCounts,
+  { asked, inTime, late, refused, failed }: RequestCounts,
+): void {
   sum.asked += asked;
   sum.inTime += inTime;
   sum.late += late;
@@ -89,39 +92,39 @@
   sum.failed += failed;
 }
 
-function addReasons(row: Row, { returned, reasons }: Of<'tally'>): void {
+function addReasons(row: Row, { returned, reasons }: LineOf<'tally'>): void {
   row.returned += returned;
   for (const [reason, count] of Object.entries(reasons)) {
     row.reasons[reason] = (row.reasons[reason] ?? 0) + count;
   }
 }
 
-function crowdingOf(lines: readonly Line[]): Crowding[] {
-  const rooms = new Rooms(lines);
-  const found = new Map<string, Crowding>();
+function overloadRefusals(lines: readonly Line[]): OverloadRefusals[] {
+  const freeSlots = new FreeSlotHistory(lines);
+  const found = new Map<string, OverloadRefusals>();
   for (const line of lines) {
     if (line.event !== 'entry-ended' || line.reason !== 'overloaded') continue;
     const { route = UNKNOWN, upstream = UNKNOWN } = line;
-    const crowding = found.get(route) ?? {
+    const entry = found.get(route) ?? {
       route,
       refusals: 0,
       withRoomElsewhere: 0,
       unknown: 0,
       ageMs: 0,
     };
-    found.set(route, crowding);
-    crowding.refusals += 1;
-    const room = rooms.at(upstream, line.at);
-    if (room === 'unknown') crowding.unknown += 1;
-    else if (room !== 'none') {
-      crowding.withRoomElsewhere += 1;
-      crowding.ageMs += (room.ageMs - crowding.ageMs) / crowding.withRoomElsewhere;
+    found.set(route, entry);
+    entry.refusals += 1;
+    const slot = freeSlots.at(upstream, line.at);
+    if (slot === 'unknown') entry.unknown += 1;
+    else if (slot !== 'none') {
+      entry.withRoomElsewhere += 1;
+      entry.ageMs += (slot.ageMs - entry.ageMs) / entry.withRoomElsewhere;
     }
   }
   return [...found.values()];
 }
 
-function dataCentresIn(lines: readonly Line[]): ReadonlyMap<string, string> {
+function dataCentresByInstance(lines: readonly Line[]): ReadonlyMap<string, string> {
   const found = new Map<string, string>();
   for (const line of lines) {
     if (line.event === 'started') found.set(line.instance, line.dataCentre);
@@ -130,11 +133,11 @@
   return found;
 }
 
-function noEnds(): Ends {
+function zeroCounts(): RequestCounts {
   return { asked: 0, inTime: 0, late: 0, refused: 0, failed: 0 };
 }
 
-function bySecond(a: Row, b: Row): number {
+function compareRows(a: Row, b: Row): number {
   return (
     a.second - b.second ||
     a.route.localeCompare(b.route) ||
--- a/src/tool/main.ts
+++ b/src/tool/main.ts
@@ -1,4 +1,4 @@
-/** Commands of the operators' tool. */
+/** Command line of the operators' tool. */
 import { cac } from 'cac';
 import {
   type AuditCursor,
@@ -11,10 +11,10 @@
 import { Client } from './client.js';
 import { EXIT } from './exit.js';
 import { readLogLines } from './explain/log_lines.js';
-import { renderStory } from './explain/render_story.js';
-import { storyOf } from './explain/story.js';
-import { accountOf } from './losses/account.js';
-import { renderAccount } from './losses/render_account.js';
+import { renderTimeline } from './explain/render_story.js';
+import { buildTimeline } from './explain/story.js';
+import { buildLossReport } from './losses/account.js';
+import { renderLossReport } from './losses/render_account.js';
 import { amend, check, submit, withdraw } from './note_commands.js';
 import { type Options, print } from './output.js';
 import { renderAudit } from './render_audit.js';
@@ -26,32 +26,38 @@
 /** Runs one command; resolves to the exit code. */
 export async function main(argv: string[], environment: NodeJS.ProcessEnv): Promise<number> {
   const tool = cac('barleyhaven');
-  const otherwise = environment.BARLEYHAVEN_TO ?? DEFAULT_ADDRESS;
-  const addressed = (command: Command) => withAddress(command, otherwise);
+  const fallbackAddress = environment.BARLEYHAVEN_TO ?? DEFAULT_ADDRESS;
+  const withFallback = (command: Command) => withAddress(command, fallbackAddress);
   tool.option('--to <address>', `host:port of a process's operators' port (${DEFAULT_ADDRESS})`);
   tool.option('--json', 'print JSON');
-  tool.command('submit <file>', 'hand in a release note').action(addressed(submit));
+  tool.command('submit <file>', 'submit a release note').action(withFallback(submit));
   tool
-    .command('amend <file>', 'replace what the note of the same id says')
-    .action(addressed(amend));
+    .command('amend <file>', 'replace the release note of the same id')
+    .action(withFallback(amend));
   tool
-    .command('withdraw <note>', 'take back what a release note has done')
-    .option('--author <name>', 'who withdraws it')
-    .action(addressed(withdraw));
+    .command('withdraw <note>', 'undo the changes of a release note')
+    .option('--author <name>', 'name of the person who withdraws it')
+    .action(withFallback(withdraw));
   tool
-    .command('check <file>', 'check a release note; with --to, against the head as well')
+    .command('check <file>', 'check a release note; with --to, also against the latest version')
     .option('--amend', 'check it as an amendment')
-    .action(addressed(check));
+    .action(withFallback(check));
   tool
-    .command('status [note]', 'where the latest versions, or those of a note, stand')
-    .action(addressed(status));
-  tool.command('audit [note]', 'who changed what, and when').action(addressed(audit));
-  tool.command('fleet', 'the processes known').action(addressed(fleet));
+    .command('status [note]', 'show which processes hold the latest versions, or those of a note')
+    .action(withFallback(status));
+  tool.command('audit [note]', 'show who changed what, and when').action(withFallback(audit));
+  tool.command('fleet', 'list the known processes').action(withFallback(fleet));
   tool
-    .command('explain <id> [...files]', 'what became of a request, from logs; - is standard input')
+    .command(
+      'explain <id> [...files]',
+      'explain how a request ended, from logs; - is standard input',
+    )
     .action(explain);
   tool
-    .command('losses [...files]', 'where requests were lost, from logs; - is standard input')
+    .command(
+      'losses [...files]',
+      'count late, refused and failed requests in logs; - is standard input',
+    )
     .action(losses);
   tool.help();
   try {
@@ -68,25 +74,25 @@
   }
 }
 
-// Actions take what their command names and the options last, so the parameters differ.
+// Actions take the arguments of their command, then the options, so their parameters differ.
 
 type Command = (...given: any[]) => Promise<number>;
 
-/** Tells the command where to ask: `--to`, or `otherwise`. */
-function withAddress(command: Command, otherwise: string): Command {
+/** Sets the address that the command calls: `--to`, or else `fallbackAddress`. */
+function withAddress(command: Command, fallbackAddress: string): Command {
   return (...given) => {
     const options = given.at(-1) as Options;
-    return command(...given.slice(0, -1), { ...options, address: options.to ?? otherwise });
+    return command(...given.slice(0, -1), { ...options, address: options.to ?? fallbackAddress });
   };
 }
 
-/** Commands that change something, so that it matters whether they ran. */
-const WRITING = new Set(['submit', 'amend', 'withdraw']);
+/** Commands that write; if their outcome is unknown, the exit code has to say so. */
+const WRITE_COMMANDS = new Set(['submit', 'amend', 'withdraw']);
 
 function exitOf(error: unknown, command: string): number {
   if (error instanceof OutcomeError) {
-    const isDoubtful = error.verdict === 'may-have-run' && WRITING.has(command);
-    return isDoubtful ? EXIT.unknown : EXIT.failed;
+    const mayHaveRun = error.verdict === 'may-have-run' && WRITE_COMMANDS.has(command);
+    return mayHaveRun ? EXIT.unknown : EXIT.failed;
   }
   const isUsage = error instanceof Error && error.name === 'CACError';
   return isUsage ? EXIT.usage : EXIT.failed;
@@ -101,7 +107,7 @@
 async function audit(given: string | undefined, options: Options): Promise<number> {
   const note = given === undefined ? undefined : String(given);
   const entries: AuditEntry[] = [];
-  for await (const page of trail(new Client(options.address), note)) {
+  for await (const page of auditPages(new Client(options.address), note)) {
     if (options.json) entries.push(...page);
     else if (page.length > 0) process.stdout.write(`${renderAudit(page)}\n`);
   }
@@ -109,7 +115,7 @@
 }
 
 /** Reads the audit trail page by page. */
-async function* trail(client: Client, note: string | undefined): AsyncGenerator<AuditEntry[]> {
+async function* auditPages(client: Client, note: string | undefined): AsyncGenerator<AuditEntry[]> {
   let cursor: AuditCursor | undefined;
   do {
     const page: AuditPage = await client.call('audit', { note, cursor });
@@ -123,20 +129,20 @@
   return print(members, EXIT.ok, options, renderFleet);
 }
 
-/** Not found is a failure: the logs that were handed in do not tell of that request. */
+/** Fails if no log line belongs to the request. */
 async function explain(
   id: string,
   files: readonly string[],
   options: Pick<Options, 'json'>,
 ): Promise<number> {
-  const story = storyOf(String(id), await readLogLines(files.map(String)));
-  const code = story.lines.length > 0 ? EXIT.ok : EXIT.failed;
-  return print(story, code, options, renderStory);
+  const timeline = buildTimeline(String(id), await readLogLines(files.map(String)));
+  const code = timeline.lines.length > 0 ? EXIT.ok : EXIT.failed;
+  return print(timeline, code, options, renderTimeline);
 }
 
-/** Logs without a single count are a failure: nothing can be said of them. */
+/** Fails if the logs contain no tally lines: nothing can be said about losses then. */
 async function losses(files: readonly string[], options: Pick<Options, 'json'>): Promise<number> {
-  const account = accountOf(await readLogLines(files.map(String)));
-  const code = account.rows.length > 0 ? EXIT.ok : EXIT.failed;
-  return print(account, code, options, renderAccount);
+  const report = buildLossReport(await readLogLines(files.map(String)));
+  const code = report.rows.length > 0 ? EXIT.ok : EXIT.failed;
+  return print(report, code, options, renderLossReport);
 }
--- a/src/tool/note_commands.ts
+++ b/src/tool/note_commands.ts
@@ -1,4 +1,4 @@
-/** The commands that hand in, change, take back and check release notes. */
+/** The commands that submit, amend, withdraw and check release notes. */
 import { open } from 'node:fs/promises';
 import { MAX_NOTE_BYTES, OutcomeError } from '../contracts.js';
 import { parseNote } from '../source/note_text.js';
@@ -9,11 +9,11 @@
 import { renderAcceptance, renderCheck } from './render_acceptance.js';
 
 export function submit(file: string, options: Options): Promise<number> {
-  return handIn('submit', file, options);
+  return submitOrAmend('submit', file, options);
 }
 
 export function amend(file: string, options: Options): Promise<number> {
-  return handIn('amend', file, options);
+  return submitOrAmend('amend', file, options);
 }
 
 export async function withdraw(
@@ -21,24 +21,24 @@
   options: Options & { readonly author?: string },
 ): Promise<number> {
   if (options.author === undefined) {
-    process.stderr.write('withdraw needs --author NAME\n');
+    process.stderr.write('withdraw requires --author NAME\n');
     return EXIT.usage;
   }
-  // The command line's parser turns what looks like a number into one.
+  // The command-line parser converts arguments that look like numbers.
   const params = { note: String(note), author: String(options.author) };
   const acceptance = await new Client(options.address).call<Acceptance>('withdraw', params);
-  return tell(acceptance, options);
+  return printAcceptance(acceptance, options);
 }
 
-/** Checks the note by itself and, if an address was given, against the head of the log. */
+/** Validates the note locally and, if `--to` was given, against the head of the log. */
 export async function check(
   file: string,
   options: Options & { readonly amend?: boolean },
 ): Promise<number> {
   const text = await readText(file);
-  const reading = parseNote(text);
-  if ('problems' in reading) {
-    const { problems } = reading;
+  const parsed = parseNote(text);
+  if ('problems' in parsed) {
+    const { problems } = parsed;
     return print({ outcome: 'refused', problems } as const, EXIT.refused, options, renderCheck);
   }
   if (options.to === undefined) {
@@ -50,22 +50,29 @@
 }
 
 /**
- * The text goes to the process even if it cannot be read here, so that the refusal is audited.
- * Where the process cannot be reached either, what was found here is told all the same.
+ * Sends the text even if it does not parse here, so that the process audits the refusal. If the
+ * call fails, the problems found here are printed instead.
  */
-async function handIn(action: 'submit' | 'amend', file: string, options: Options): Promise<number> {
+async function submitOrAmend(
+  action: 'submit' | 'amend',
+  file: string,
+  options: Options,
+): Promise<number> {
   const text = await readText(file);
   try {
-    return tell(await new Client(options.address).call<Acceptance>(action, { text }), options);
+    return printAcceptance(
+      await new Client(options.address).call<Acceptance>(action, { text }),
+      options,
+    );
   } catch (error) {
-    const reading = parseNote(text);
-    if (!(error instanceof OutcomeError) || 'note' in reading) throw error;
-    process.stderr.write(`the refusal may not be audited: ${error.message}\n`);
-    return tell({ outcome: 'refused', problems: reading.problems }, options);
+    const parsed = parseNote(text);
+    if (!(error instanceof OutcomeError) || 'note' in parsed) throw error;
+    process.stderr.write(`the refusal may not be in the audit trail: ${error.message}\n`);
+    return printAcceptance({ outcome: 'refused', problems: parsed.problems }, options);
   }
 }
 
-function tell(acceptance: Acceptance, options: Options): number {
+function printAcceptance(acceptance: Acceptance, options: Options): number {
   return print(acceptance, exitOf(acceptance), options, renderAcceptance);
 }
 
@@ -74,7 +81,7 @@
   return outcome === 'conflict' ? EXIT.conflict : EXIT.ok;
 }
 
-/** Reads no more than shows that a text is too long. */
+/** Reads at most one byte more than a note may have, enough to detect that it is too long. */
 async function readText(file: string): Promise<string> {
   const handle = await open(file);
   try {
--- a/src/tool/output.ts
+++ b/src/tool/output.ts
@@ -1,15 +1,14 @@
-/** What the tool prints. */
+/** Output of the commands, and the options that they share. */
 
-/** Options that all commands share. */
 export interface Options {
-  /** Where to ask, from the flag, the environment or the default. */
+  /** `host:port` of the process to call: from the flag, the environment or the default. */
   readonly address: string;
-  /** The same, only if the flag was given. */
+  /** The value of the flag `--to`, if it was given. */
   readonly to?: string;
   readonly json?: boolean;
 }
 
-/** Prints a value as JSON, or as `render` puts it; returns the exit code. */
+/** Prints a value as JSON, or as rendered by `render`; returns `code`, the exit code. */
 export function print<T>(
   value: T,
   code: number,
--- a/src/tool/render_acceptance.ts
+++ b/src/tool/render_acceptance.ts
@@ -1,4 +1,4 @@
-/** Text for how the handing in, or the check, of a note ended. */
+/** Renders the result of a submitted, amended, withdrawn or checked note. */
 import { type Problem } from '../contracts.js';
 import { type Acceptance, type Check } from '../source/acceptance.js';
 import { printable } from './table.js';
@@ -8,27 +8,31 @@
     case 'accepted':
       return renderAccepted(acceptance);
     case 'refused':
-      return ['refused:', ...acceptance.problems.map(renderProblem), ...gap(acceptance)].join('\n');
+      return [
+        'refused:',
+        ...acceptance.problems.map(renderProblem),
+        ...auditGapLines(acceptance),
+      ].join('\n');
     default: {
       const rival = acceptance.note === '' ? 'another note' : `note ${acceptance.note}`;
       const lines = acceptance.resources.map((resource) => `  ${resource}`);
       const title = `conflict: ${rival} touched the same resources`;
-      return [title, ...lines, ...gap(acceptance)].join('\n');
+      return [title, ...lines, ...auditGapLines(acceptance)].join('\n');
     }
   }
 }
 
-/** Like `renderAcceptance`, for a note that was not handed in. */
+/** Like `renderAcceptance`, for a note that was only checked. */
 export function renderCheck(result: Check | { readonly outcome: 'valid' }): string {
   if (result.outcome !== 'valid') return renderAcceptance(result);
-  if (!('head' in result)) return 'valid by itself; give --to to check it against the head';
+  if (!('head' in result)) return 'valid; use --to to check it against the latest version as well';
   const lines = result.resources.map((resource) => `  ${resource}`);
   return [`valid on top of version ${result.head}; it would touch`, ...lines].join('\n');
 }
 
-/** Says so where the audit trail does not hold the refusal. */
-function gap({ audited }: { readonly audited?: boolean }): string[] {
-  return audited === false ? ['not audited: the platform did not take the entry'] : [];
+/** A warning if the refusal is not in the audit trail. */
+function auditGapLines({ audited }: { readonly audited?: boolean }): string[] {
+  return audited === false ? ['not audited: the platform did not store the audit entry'] : [];
 }
 
 export function renderProblem({ path, message }: Problem): string {
@@ -41,7 +45,7 @@
   supersededBy,
 }: Extract<Acceptance, { outcome: 'accepted' }>): string {
   const { number, note } = record.version;
-  const before = repeated ? ' before' : '';
-  const since = supersededBy === undefined ? '' : `; version ${supersededBy} has replaced it`;
+  const before = repeated ? ' earlier' : '';
+  const since = supersededBy === undefined ? '' : `; version ${supersededBy} has superseded it`;
   return `accepted${before}: ${note} is version ${number}${since}`;
 }
--- a/src/tool/render_audit.ts
+++ b/src/tool/render_audit.ts
@@ -1,9 +1,9 @@
-/** Text for the audit trail. */
+/** Renders the output of `audit`: one row per entry, followed by its problems. */
 import { type AuditEntry } from '../contracts.js';
 import { printable, table } from './table.js';
 
-/** Resources named in a row; the rest is counted. */
-const MAX_NAMED = 3;
+/** Resources listed in a row; the others are only counted. */
+const MAX_LISTED_RESOURCES = 3;
 
 export function renderAudit(entries: readonly AuditEntry[]): string {
   const rows = table(entries.map(rowOf));
@@ -12,8 +12,8 @@
 
 function rowOf(entry: AuditEntry): string[] {
   const { at, outcome, version, author, action, note } = entry;
-  const place = version === undefined ? '-' : `v${version}`;
-  return [instant(at), outcome, place, author, action, note, what(entry)];
+  const versionText = version === undefined ? '-' : `v${version}`;
+  return [formatInstant(at), outcome, versionText, author, action, note, resourceList(entry)];
 }
 
 function reasonsOf({ problems, omitted, rival }: AuditEntry): string[] {
@@ -23,15 +23,15 @@
   return reasons.map((reason) => `    ${printable(reason)}`);
 }
 
-function what({ resources, problems, omitted }: AuditEntry): string {
-  const named = resources.slice(0, MAX_NAMED).join(' ');
+function resourceList({ resources, problems, omitted }: AuditEntry): string {
+  const named = resources.slice(0, MAX_LISTED_RESOURCES).join(' ');
   const unlisted = problems.length > 0 ? 0 : omitted;
-  const more = resources.length - Math.min(resources.length, MAX_NAMED) + unlisted;
+  const more = resources.length - Math.min(resources.length, MAX_LISTED_RESOURCES) + unlisted;
   return more > 0 ? `${named} and ${more} more` : named;
 }
 
-/** An instant to the second, in UTC. */
-export function instant(at: number): string {
+/** Formats milliseconds since the epoch as UTC, to the second. */
+export function formatInstant(at: number): string {
   return new Date(at)
     .toISOString()
     .replace('T', ' ')
--- a/src/tool/render_fleet.ts
+++ b/src/tool/render_fleet.ts
@@ -1,4 +1,4 @@
-/** Text for the processes known. */
+/** Renders the output of `fleet`: the known processes, by data centre and name. */
 import { type Member } from '../contracts.js';
 import { table } from './table.js';
 
--- a/src/tool/render_status.ts
+++ b/src/tool/render_status.ts
@@ -1,11 +1,11 @@
-/** Text for where versions stand. */
+/** Renders the output of `status`: the latest versions, which processes hold them, and roll-outs. */
 import { type Rollout, type Standing, type Status, type Survey } from '../contracts.js';
-import { instant } from './render_audit.js';
+import { formatInstant } from './render_audit.js';
 import { table } from './table.js';
 
 const SECOND_MS = 1_000;
-/** Units of an age, each with the number of seconds from which on it is used. */
-const UNITS = [
+/** Units of an age, largest first, each with its length in seconds. */
+const AGE_UNITS = [
   { name: 'd', seconds: 86_400 },
   { name: 'h', seconds: 3_600 },
   { name: 'min', seconds: 60 },
@@ -18,7 +18,7 @@
   'ACTION',
   'AUTHOR',
   'ACCEPTED',
-  'AGO',
+  'AGE',
   'HELD BY',
   'NOT HELD BY',
   'UNKNOWN',
@@ -26,15 +26,21 @@
 
 export function renderStatus(status: Status): string {
   const { head, asOf, isLogRead, versions, survey, rollouts } = status;
-  const lines = [`latest version known: ${head}, at ${instant(asOf)}`];
-  if (!isLogRead) lines.push('the platform was not reached: later versions may have been accepted');
+  const lines = [`latest version known: ${head}, at ${formatInstant(asOf)}`];
+  if (!isLogRead)
+    lines.push('the platform could not be reached: later versions may have been accepted');
   const rows = versions.map((version) => rowOf(version, asOf, survey));
   if (rows.length > 0) lines.push(...table([HEADINGS, ...rows]));
   else lines.push('no versions');
-  return [...lines, ...behind(survey), ...unheard(survey), ...rolledOut(rollouts)].join('\n');
+  return [
+    ...lines,
+    ...laggardLines(survey),
+    ...unknownLines(survey),
+    ...rolloutLines(rollouts),
+  ].join('\n');
 }
 
-/** A process that did not answer counts as unknown, never as one that holds the version. */
+/** A process that did not answer counts as unknown, never as holding the version. */
 function rowOf(
   { number, note, action, author, acceptedAt }: Standing,
   asOf: number,
@@ -49,21 +55,21 @@
     note,
     action ?? '-',
     author ?? '-',
-    instant(acceptedAt),
-    age(asOf - acceptedAt),
+    formatInstant(acceptedAt),
+    formatAge(asOf - acceptedAt),
     String(count((version) => version >= number)),
     String(count((version) => version < number)),
-    unknownOf(survey),
+    formatUnknown(survey),
   ];
 }
 
-function unknownOf({ unknownProcesses, unreached }: Survey): string {
+function formatUnknown({ unknownProcesses, unreached }: Survey): string {
   if (unreached.length === 0) return String(unknownProcesses);
   const centres = unreached.length === 1 ? '1 data centre' : `${unreached.length} data centres`;
   return unknownProcesses === 0 ? centres : `${unknownProcesses} and ${centres}`;
 }
 
-function behind({ laggards }: Survey): string[] {
+function laggardLines({ laggards }: Survey): string[] {
   if (laggards.length === 0) return [];
   const rows = laggards.map(({ instance, dataCentre, version, reason }) => [
     `  ${instance}`,
@@ -71,23 +77,23 @@
     `holds v${version}`,
     reason,
   ]);
-  return ['behind:', ...table(rows)];
+  return ['processes that lag behind:', ...table(rows)];
 }
 
-function unheard({ unknown, unknownProcesses, unreached }: Survey): string[] {
+function unknownLines({ unknown, unknownProcesses, unreached }: Survey): string[] {
   const lines: string[] = [];
   const more = unknownProcesses - unknown.length;
   if (unknownProcesses > 0) {
     const rest = more > 0 ? ` and ${more} more` : '';
-    lines.push(`unknown, no answer: ${unknown.join(' ')}${rest}`);
+    lines.push(`unknown, processes that did not answer: ${unknown.join(' ')}${rest}`);
   }
   if (unreached.length > 0) {
-    lines.push(`unknown, data centres not reached: ${unreached.join(' ')}`);
+    lines.push(`unknown, unreachable data centres: ${unreached.join(' ')}`);
   }
   return lines;
 }
 
-function rolledOut(rollouts: readonly Rollout[]): string[] {
+function rolloutLines(rollouts: readonly Rollout[]): string[] {
   if (rollouts.length === 0) return [];
   const rows = rollouts.map(({ upstream, version, phase, durationMs }) => [
     `  ${upstream}`,
@@ -98,9 +104,9 @@
   return ['roll-outs:', ...table(rows)];
 }
 
-/** An age in the largest unit that fits, such as `4 min`. */
-function age(ms: number): string {
+/** An age in milliseconds, rounded down in the largest unit that fits, such as `4 min`. */
+function formatAge(ms: number): string {
   const seconds = Math.max(0, Math.floor(ms / SECOND_MS));
-  const unit = UNITS.find((candidate) => seconds >= candidate.seconds) ?? UNITS[3];
+  const unit = AGE_UNITS.find((candidate) => seconds >= candidate.seconds) ?? AGE_UNITS[3];
   return `${Math.floor(seconds / unit.seconds)} ${unit.name}`;
 }
--- a/src/tool/table.ts
+++ b/src/tool/table.ts
@@ -1,4 +1,4 @@
-/** Rows of text in aligned columns, two blanks apart, a line each. */
+/** Formats rows as lines with aligned columns, separated by two spaces. */
 export function table(rows: readonly (readonly string[])[]): string[] {
   const printed = rows.map((row) => row.map(printable));
   const widths: number[] = [];
@@ -14,8 +14,8 @@
 }
 
 /**
- * Text from refused notes is shown as it was handed in. Control characters in it could make a
- * terminal show other lines than the trail holds, so each is replaced by a visible mark.
+ * Replaces each control character by U+FFFD. Text of refused notes is shown as submitted, and
+ * control characters in it could make a terminal show lines that are not in the audit trail.
  */
 export function printable(text: string): string {
   return text.replace(/\p{Cc}/gu, '�');
