--- a/src/standins/gate.ts
+++ b/src/standins/gate.ts
@@ -1,10 +1,10 @@
-/** Stand-in for a paused process: while the gate is shut, nothing gets through to it or from it. */
+/** Simulates a paused process: while its gate is shut, no message or timer reaches or leaves it. */
 import { Clock } from '../runtime/clock.js';
 
 export class Gate {
   #opened: Promise<void> | undefined;
 
-  #open = () => {};
+  #resolveOpened = () => {};
 
   get isShut(): boolean {
     return this.#opened !== undefined;
@@ -12,22 +12,22 @@
 
   shut(): void {
     this.#opened ??= new Promise((resolve) => {
-      this.#open = resolve;
+      this.#resolveOpened = resolve;
     });
   }
 
   open(): void {
     this.#opened = undefined;
-    this.#open();
+    this.#resolveOpened();
   }
 
-  /** Resolves at once while the gate is open, else when it opens. */
-  async passed(): Promise<void> {
+  /** Resolves as soon as the gate is open. */
+  async waitUntilOpen(): Promise<void> {
     while (this.#opened) await this.#opened;
   }
 }
 
-/** A clock whose sleepers wake only when the gate is open; time itself goes on. */
+/** A clock whose sleeps end only while the gate is open; `now` keeps advancing. */
 export class GatedClock extends Clock {
   constructor(
     private readonly clock: Clock,
@@ -42,6 +42,6 @@
 
   async sleepUntil(deadline: number, signal?: AbortSignal): Promise<void> {
     await this.clock.sleepUntil(deadline, signal);
-    await this.gate.passed();
+    await this.gate.waitUntilOpen();
   }
 }
--- a/src/standins/listen.ts
+++ b/src/standins/listen.ts
@@ -1,4 +1,4 @@
-/** Opening and closing of HTTP servers on loopback. */
+/** Opens and closes HTTP servers on the loopback interface. */
 import { type Server } from 'node:http';
 import { bind } from '../daemon/bind.js';
 
@@ -8,7 +8,7 @@
   return bind(server, LOOPBACK, port);
 }
 
-/** Stops at once: connections still open are destroyed. */
+/** Closes a server immediately, destroying open connections. */
 export async function shut(server: Server): Promise<void> {
   const closed = new Promise<void>((resolve) => {
     server.close(() => resolve());
--- a/src/standins/memory_link.ts
+++ b/src/standins/memory_link.ts
@@ -1,4 +1,4 @@
-/** Links in memory, with the faults that real ones have. */
+/** In-memory links with the faults of real network links. */
 import { type Codec } from '../link/codec.js';
 import { Link } from '../link/link.js';
 import { type Clock } from '../runtime/clock.js';
@@ -6,15 +6,17 @@
 import { type Gate } from './gate.js';
 import { type Lane } from './lane.js';
 
-/** How messages fare, all settable while links are open. Chances are in [0, 1]. */
+/** Faults of messages, all settable while links are open. Probabilities are in [0, 1]. */
 export interface LinkFaults {
+  /** Probability that a message is lost. */
   lose: number;
+  /** Probability that a message is delivered twice. */
   duplicate: number;
-  /** Chance of a message to be overtaken by later ones. */
+  /** Probability that later messages may overtake a message. */
   reorder: number;
-  /** Time that every message takes, in milliseconds. */
+  /** Latency of every message, in milliseconds. */
   latencyMs: number;
-  /** Cap of the jittered delay on top of it, in milliseconds. */
+  /** Upper bound of the random delay added to the latency, in milliseconds. */
   delayMs: number;
 }
 
@@ -22,64 +24,69 @@
   return { lose: 0, duplicate: 0, reorder: 0, latencyMs: 1, delayMs: 0 };
 }
 
-/** What both ends of a link share. */
-export interface Wire {
+/** Settings that both ends of a link share. */
+export interface LinkSettings {
   readonly clock: Clock;
   readonly random: Random;
   readonly codec: Codec;
   readonly faults: LinkFaults;
-  /** Whether nothing passes for now, without either end being told. */
+  /** Whether messages are currently dropped, without either end being notified. */
   readonly isCut: () => boolean;
 }
 
-/** Where one end of a link is. */
-export interface Place {
+/** What affects the end of a link at one process: its pauses and its bandwidth. */
+export interface HostConditions {
   readonly gate: Gate;
   readonly lane?: Lane | undefined;
 }
 
-/** Length of the frame header that a real link writes before each message, in bytes. */
+/** Length of the frame header that a real link sends before each message, in bytes. */
 const HEADER_BYTES = 4;
-/** How far an overtaken message falls back, in milliseconds. */
-const OVERTAKEN_MS = 50;
+/** Upper bound of the extra delay of a message that may be overtaken, in milliseconds. */
+const MAX_REORDER_DELAY_MS = 50;
 
 export class MemoryLink extends Link {
   bytesSent = 0;
 
   bytesReceived = 0;
 
-  /** Whether something between the two ends has lost track of them, for good. */
+  /** Whether the link drops everything from now on, like a connection that a middlebox has forgotten. */
   isSilent = false;
 
   readonly #closing = new AbortController();
 
-  readonly #early: unknown[] = [];
+  /** Messages that arrived before a receiver was set. */
+  readonly #undelivered: unknown[] = [];
 
   #receiver: ((message: unknown) => void) | undefined;
 
-  /** Instant at which the last message in order arrives. */
-  #arrivesAt = 0;
+  /** When the latest message that is kept in order arrives, in milliseconds since the epoch. */
+  #lastArrivalAt = 0;
 
-  #far!: MemoryLink;
+  #otherEnd!: MemoryLink;
 
   private constructor(
-    private readonly wire: Wire,
+    private readonly settings: LinkSettings,
     private readonly gate: Gate,
-    /** By which this end's machine sends; wide enough for anything when absent. */
+    /** Limits the bandwidth of this end's machine; unlimited if absent. */
     private readonly lane: Lane | undefined,
   ) {
     super();
   }
 
-  /** The two ends of one link; each belongs to the process behind its gate. */
-  static pair(wire: Wire, near: Place, far: Place): [MemoryLink, MemoryLink] {
+  /** Creates the two ends of a link. */
+  static pair(
+    settings: LinkSettings,
+    near: HostConditions,
+    far: HostConditions,
+  ): [MemoryLink, MemoryLink] {
     const ends: [MemoryLink, MemoryLink] = [
-      new MemoryLink(wire, near.gate, near.lane),
-      new MemoryLink(wire, far.gate, far.lane),
+      new MemoryLink(settings, near.gate, near.lane),
+      new MemoryLink(settings, far.gate, far.lane),
     ];
     const [one, other] = ends;
-    one.#far = other;
-    other.#far = one;
+    one.#otherEnd = other;
+    other.#otherEnd = one;
     return ends;
   }
 
@@ -89,63 +96,63 @@
 
   send(message: unknown): void {
     if (this.closed.aborted) return;
-    const bytes = this.wire.codec.encode(message);
+    const bytes = this.settings.codec.encode(message);
     this.bytesSent += HEADER_BYTES + bytes.length;
-    const { random, faults } = this.wire;
+    const { random, faults } = this.settings;
     if (random.next() < faults.lose) return;
-    void this.#carry(bytes);
-    if (random.next() < faults.duplicate) void this.#carry(bytes);
+    void this.#transmit(bytes);
+    if (random.next() < faults.duplicate) void this.#transmit(bytes);
   }
 
   receive(receiver: (message: unknown) => void): void {
     this.#receiver = receiver;
-    for (const message of this.#early.splice(0)) receiver(message);
+    for (const message of this.#undelivered.splice(0)) receiver(message);
   }
 
   close(): void {
     if (this.closed.aborted) return;
     this.#closing.abort();
-    void this.#closeFar();
+    void this.#closeOtherEnd();
   }
 
-  /** Loses track of both ends: neither hears of the other again, nor of its closing. */
+  /** Drops all further messages in both directions, and the notice of a close as well. */
   silence(): void {
     this.isSilent = true;
-    this.#far.isSilent = true;
+    this.#otherEnd.isSilent = true;
   }
 
-  async #carry(bytes: Uint8Array): Promise<void> {
-    await this.gate.passed();
-    const { clock } = this.wire;
-    const far = this.#far;
-    await clock.sleepUntil(this.#arrival(HEADER_BYTES + bytes.length));
-    if (this.isSilent || this.wire.isCut()) return;
-    await far.gate.passed();
-    if (far.closed.aborted) return;
-    far.bytesReceived += HEADER_BYTES + bytes.length;
-    far.#deliver(this.wire.codec.decode(bytes));
+  async #transmit(bytes: Uint8Array): Promise<void> {
+    await this.gate.waitUntilOpen();
+    const { clock } = this.settings;
+    const otherEnd = this.#otherEnd;
+    await clock.sleepUntil(this.#arrivalTime(HEADER_BYTES + bytes.length));
+    if (this.isSilent || this.settings.isCut()) return;
+    await otherEnd.gate.waitUntilOpen();
+    if (otherEnd.closed.aborted) return;
+    otherEnd.bytesReceived += HEADER_BYTES + bytes.length;
+    otherEnd.#deliver(this.settings.codec.decode(bytes));
   }
 
-  #arrival(bytes: number): number {
-    const { clock, random, faults } = this.wire;
+  #arrivalTime(bytes: number): number {
+    const { clock, random, faults } = this.settings;
     const now = clock.now();
-    const leaves = this.lane?.departure(bytes, now) ?? now;
-    const earliest = leaves + faults.latencyMs + random.jitter(faults.delayMs);
-    if (random.next() < faults.reorder) return earliest + random.jitter(OVERTAKEN_MS);
-    this.#arrivesAt = Math.max(this.#arrivesAt, earliest);
-    return this.#arrivesAt;
+    const leavesAt = this.lane?.departure(bytes, now) ?? now;
+    const earliest = leavesAt + faults.latencyMs + random.jitter(faults.delayMs);
+    if (random.next() < faults.reorder) return earliest + random.jitter(MAX_REORDER_DELAY_MS);
+    this.#lastArrivalAt = Math.max(this.#lastArrivalAt, earliest);
+    return this.#lastArrivalAt;
   }
 
   #deliver(message: unknown): void {
     if (this.#receiver) this.#receiver(message);
-    else this.#early.push(message);
+    else this.#undelivered.push(message);
   }
 
-  async #closeFar(): Promise<void> {
-    const { clock, faults } = this.wire;
-    await clock.sleepUntil(Math.max(this.#arrivesAt, clock.now() + faults.latencyMs));
-    if (this.isSilent || this.wire.isCut()) return;
-    await this.#far.gate.passed();
-    this.#far.close();
+  async #closeOtherEnd(): Promise<void> {
+    const { clock, faults } = this.settings;
+    await clock.sleepUntil(Math.max(this.#lastArrivalAt, clock.now() + faults.latencyMs));
+    if (this.isSilent || this.settings.isCut()) return;
+    await this.#otherEnd.gate.waitUntilOpen();
+    this.#otherEnd.close();
   }
 }
--- a/src/standins/memory_network.ts
+++ b/src/standins/memory_network.ts
@@ -1,14 +1,14 @@
-/** Stand-in for the network between processes: memory links that can be cut by data centre. */
+/** Simulates the network between processes: in-memory links that can be cut between data centres. */
 import { OutcomeError } from '../contracts.js';
 import { Dialer } from '../distribution/mesh.js';
 import { type Codec } from '../link/codec.js';
 import { type Link } from '../link/link.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { type LinkFaults, MemoryLink, noFaults, type Place } from './memory_link.js';
+import { type LinkFaults, MemoryLink, noFaults, type HostConditions } from './memory_link.js';
 
-/** One process as the network sees it. */
-export interface Host extends Place {
+/** A process attached to the network. */
+export interface Host extends HostConditions {
   readonly host: string;
   readonly port: number;
   readonly dataCentre: string;
@@ -20,7 +20,7 @@
   readonly hosts: readonly [Host, Host];
 }
 
-/** How long an attempt takes that nothing answers, in milliseconds. */
+/** How long a connection attempt across a cut takes to fail, in milliseconds. */
 const DIAL_TIMEOUT_MS = 1_000;
 
 export class MemoryNetwork {
@@ -38,42 +38,43 @@
     private readonly codec: Codec,
   ) {}
 
-  /** Bytes that were sent over all links so far, framing included. */
+  /** Bytes sent over all links so far, including framing. */
   get bytesSent(): number {
     const ends = this.#connections.flatMap((connection) => connection.ends);
     return ends.reduce((sum, end) => sum + end.bytesSent, 0);
   }
 
-  /** Lets a process be dialled, and returns what it dials with. */
+  /** Makes a process reachable; returns the dialer with which it connects to others. */
   attach(host: Host): Dialer {
     this.#hosts.set(address(host.host, host.port), host);
     return new MemoryDialer((to, port) => this.#dial(host, to, port));
   }
 
-  /** The process dies: its links close, or merely go silent when its machine dies with it. */
+  /** Simulates a crash: links are closed or, if the whole machine fails, go silent without a close. */
   detach(host: Host, how: 'closed' | 'silent'): void {
     this.#hosts.delete(address(host.host, host.port));
-    for (const { ends, hosts } of this.#open(host)) {
+    for (const { ends, hosts } of this.#openConnections(host)) {
       if (how === 'silent') ends[0].silence();
       ends[hosts.indexOf(host)]?.close();
     }
   }
 
-  /** Open links between two processes go silent for good; new ones work. */
+  /** Makes the open links between two processes drop all messages; new links work. */
   silence(one: Host, other: Host): void {
-    for (const { ends, hosts } of this.#open(one)) if (hosts.includes(other)) ends[0].silence();
+    for (const { ends, hosts } of this.#openConnections(one))
+      if (hosts.includes(other)) ends[0].silence();
   }
 
-  /** Nothing passes between two data centres until `heal`. */
+  /** Cuts all communication between two data centres until `heal`. */
   cut(one: string, other: string): void {
-    this.#cuts.add(pairOf(one, other));
+    this.#cuts.add(pairKey(one, other));
   }
 
   heal(): void {
     this.#cuts.clear();
   }
 
-  #open(host: Host): Connection[] {
+  #openConnections(host: Host): Connection[] {
     return this.#connections.filter(
       ({ ends, hosts }) => hosts.includes(host) && !ends.every((end) => end.closed.aborted),
     );
@@ -93,15 +94,15 @@
 
   #connect(from: Host, target: Host, isCut: () => boolean): Link {
     const { clock, random, codec, faults } = this;
-    const wire = { clock, random, codec, faults, isCut };
-    const ends = MemoryLink.pair(wire, from, target);
+    const settings = { clock, random, codec, faults, isCut };
+    const ends = MemoryLink.pair(settings, from, target);
     this.#connections.push({ ends, hosts: [from, target] });
     target.accept(ends[1]);
     return ends[0];
   }
 
   #isCut(one: Host, other: Host): boolean {
-    return this.#cuts.has(pairOf(one.dataCentre, other.dataCentre));
+    return this.#cuts.has(pairKey(one.dataCentre, other.dataCentre));
   }
 }
 
@@ -115,6 +116,6 @@
   return `${host}:${port}`;
 }
 
-function pairOf(one: string, other: string): string {
+function pairKey(one: string, other: string): string {
   return [one, other].sort().join(' ');
 }
--- a/src/standins/mesh_machine.ts
+++ b/src/standins/mesh_machine.ts
@@ -1,16 +1,16 @@
-/** A machine as the operators' platform describes it to the process on it, on loopback. */
+/** Settings and configuration of simulated machines on loopback, in the operators' platform's format. */
 import { writeFile } from 'node:fs/promises';
 import { type PlatformStore } from './platform_store.js';
 
-/** Ports are the same on all machines; each has a loopback address of its own. */
+/** Ports, the same on all machines: each machine has a loopback address of its own. */
 export const PORTS = { inbound: 8624, outbound: 8629, ready: 8625, control: 8620, upstream: 8628 };
 const INTERNAL_PORTS = [7600, 7615] as const;
-/** Key under which the operator's object stands in the store. */
-const CONFIGURATION = 'config/main';
-/** Host of all routes. */
+/** Key of the operator's configuration object in the store. */
+const CONFIGURATION_KEY = 'config/main';
+/** Host name of all routes. */
 const HOST = 'suppers.example';
-/** Machines that a settings file names as a way in. */
-const SEEDS = 3;
+/** Number of machines that a settings file lists as seeds for joining. */
+const SEED_COUNT = 3;
 
 export interface MeshMachine {
   readonly name: string;
@@ -20,8 +20,8 @@
 }
 
 /**
- * `index` counts from 0; data centres and services are given out in turn. Fleets of several processes that
- * run at the same time have addresses of their own.
+ * Describes machine number `index`, from 0; data centres and services are assigned round-robin. The address
+ * depends on the process id, so that fleets of several test processes can run at the same time.
  */
 export function meshMachine(
   index: number,
@@ -36,55 +36,55 @@
   };
 }
 
-/** Writes the settings file of a machine; resolves to the environment that names it to its process. */
+/** Writes the settings file of a machine; resolves to the environment variables that point to it. */
 export async function writeSettings(
   path: string,
   machine: MeshMachine,
   all: readonly MeshMachine[],
   storePort: number,
 ): Promise<Readonly<Record<string, string>>> {
-  const at = (port: number, host = machine.host) => `${host}:${port}`;
+  const address = (port: number, host = machine.host) => `${host}:${port}`;
   const settings = {
     nodeName: machine.name,
     ip: machine.host,
     zone: machine.dataCentre,
     listen: {
-      inbound: at(PORTS.inbound),
-      outbound: at(PORTS.outbound),
-      ready: at(PORTS.ready),
-      control: at(PORTS.control),
+      inbound: address(PORTS.inbound),
+      outbound: address(PORTS.outbound),
+      ready: address(PORTS.ready),
+      control: address(PORTS.control),
     },
     internalPortRange: INTERNAL_PORTS,
-    seeds: all.slice(0, SEEDS).map(({ host }) => at(PORTS.control, host)),
+    seeds: all.slice(0, SEED_COUNT).map(({ host }) => address(PORTS.control, host)),
     heartbeat: '1500ms',
     bounds: { grace: '6s', retryBudgetRatio: 0.2, budgetSlack: 218, budgetWindow: '10s' },
     limits: { maxFds: 4100, linkMbps: 100 },
     service: machine.service,
-    appAddr: at(PORTS.upstream),
+    appAddr: address(PORTS.upstream),
     platform: { address: `127.0.0.1:${storePort}` },
   };
   await writeFile(path, JSON.stringify(settings));
   return { BARLEYHAVEN_SETTINGS: path };
 }
 
-/** Puts an operator's object in force, the first one or a later. `deadline` in ms since the epoch. */
+/** Creates or updates the operator's configuration object. `deadline` in ms since the epoch. */
 export async function putInForce(
   store: PlatformStore,
   value: string,
   deadline: number,
 ): Promise<void> {
-  const before = await store.get(CONFIGURATION, deadline);
-  if (before) await store.update(CONFIGURATION, value, before.revision, deadline);
-  else await store.create(CONFIGURATION, value, deadline);
+  const current = await store.get(CONFIGURATION_KEY, deadline);
+  if (current) await store.update(CONFIGURATION_KEY, value, current.revision, deadline);
+  else await store.create(CONFIGURATION_KEY, value, deadline);
 }
 
-/** A configuration as the operator writes it: so many routes, given to the services in turn. */
+/** An operator's configuration object with `routes` routes, assigned to the services round-robin. */
 export function operatorsObject(
   number: number,
   routes: number,
   services: readonly string[],
 ): string {
-  const named = Array.from({ length: routes }, (_, index) => [
+  const routeEntries = Array.from({ length: routes }, (_, index) => [
     `route-${index}`,
     {
       host: HOST,
@@ -99,7 +99,7 @@
   ]);
   return JSON.stringify({
     version: `r${number}`,
-    routes: Object.fromEntries(named) as Record<string, unknown>,
+    routes: Object.fromEntries(routeEntries) as Record<string, unknown>,
     services: Object.fromEntries(services.map((name) => [name, { healthPath: '/healthz' }])),
     limits: {
       maxHeaderBytes: 16_384,
@@ -110,7 +110,7 @@
   });
 }
 
-/** What a caller sends with a request. */
+/** Headers of a caller's request. */
 export function callHeaders(id: string): Readonly<Record<string, string>> {
   return { host: HOST, 'barleyhaven-request-id': id, 'barleyhaven-timeout-ms': '8000' };
 }
--- a/src/standins/mesh_upstream.ts
+++ b/src/standins/mesh_upstream.ts
@@ -1,4 +1,4 @@
-/** Stand-in for an upstream instance of the operators' platform: answers, and reports to its machine. */
+/** Stand-in for an upstream instance on the operators' platform: serves requests and sends heartbeats. */
 import {
   createServer,
   type IncomingMessage,
@@ -15,9 +15,9 @@
 const SLOTS = 13;
 
 export interface MeshUpstreamOptions {
-  /** Time an answer takes, in milliseconds. */
+  /** Delay before each response, in milliseconds. */
   readonly delayMs: number;
-  /** Size of an answer's body. */
+  /** Size of each response body. */
   readonly bytes: number;
 }
 
@@ -49,7 +49,7 @@
   ): Promise<MeshUpstream> {
     const upstream = new MeshUpstream(clock, machine, options);
     await bind(upstream.#server, machine.host, PORTS.upstream);
-    void upstream.#report();
+    void upstream.#reportRepeatedly();
     return upstream;
   }
 
@@ -71,7 +71,7 @@
     response.end(this.#body);
   }
 
-  async #report(): Promise<void> {
+  async #reportRepeatedly(): Promise<void> {
     while (!this.#stopping.signal.aborted) {
       await this.#reportOnce().catch(() => {});
       const next = this.clock.now() + REPORT_EVERY_MS;
--- a/src/standins/platform_server.ts
+++ b/src/standins/platform_server.ts
@@ -1,4 +1,4 @@
-/** Serves the platform stand-in over HTTP, with a port to make it misbehave. */
+/** Serves the platform stand-in over HTTP; `/faults` sets its faults, `/calls` returns call counts. */
 import { createServer, type IncomingMessage, type Server, type ServerResponse } from 'node:http';
 import { text } from 'node:stream/consumers';
 import { OutcomeError } from '../contracts.js';
@@ -7,8 +7,8 @@
 import { type Faults, PlatformStore } from './platform_store.js';
 import { listen, LOOPBACK, shut } from './listen.js';
 
-/** A deadline for the stand-in's own work; callers have their own. */
-const PATIENCE_MS = 60_000;
+/** Time limit for a call to the store, and for idle connections; callers have limits of their own. */
+const REQUEST_TIMEOUT_MS = 60_000;
 
 /**
  * @example
@@ -29,7 +29,7 @@
     this.#server = createServer((request, response) => {
       void this.#serve(request, response);
     });
-    this.#server.keepAliveTimeout = PATIENCE_MS;
+    this.#server.keepAliveTimeout = REQUEST_TIMEOUT_MS;
   }
 
   static async start(clock: Clock, port = 0): Promise<PlatformServer> {
@@ -49,10 +49,10 @@
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
     try {
       const result = await this.#dispatch(request, response);
-      answer(response, result.status, result.body);
+      sendResponse(response, result.status, result.body);
     } catch (error) {
       if (error instanceof OutcomeError && error.reason === 'timeout') response.destroy();
-      else answer(response, error instanceof OutcomeError ? 503 : 400, String(error));
+      else sendResponse(response, error instanceof OutcomeError ? 503 : 400, String(error));
     }
   }
 
@@ -61,48 +61,53 @@
     if (url.pathname === '/faults') {
       Object.assign(this.store.faults, JSON.parse(await text(request)) as Partial<Faults>);
       this.store.disturb();
-      return found(this.store.faults);
+      return okReply(this.store.faults);
     }
-    if (url.pathname === '/calls') return found(this.store.calls);
+    if (url.pathname === '/calls') return okReply(this.store.calls);
     const [, api, objects, kind, name, part] = url.pathname.split('/');
     if (api !== 'api' || objects !== 'objects' || kind === undefined) {
       return { status: 404, body: '"no such action"' };
     }
-    return this.#object(request, response, { url, kind: decodeURIComponent(kind), name, part });
+    return this.#serveObject(request, response, {
+      url,
+      kind: decodeURIComponent(kind),
+      name,
+      part,
+    });
   }
 
-  async #object(
+  async #serveObject(
     request: IncomingMessage,
     response: ServerResponse,
-    { url, kind, name, part }: Addressed,
+    { url, kind, name, part }: ObjectRequest,
   ): Promise<Reply> {
-    const deadline = this.clock.now() + PATIENCE_MS;
+    const deadline = this.clock.now() + REQUEST_TIMEOUT_MS;
     if (request.method === 'POST') return this.#create(request, kind, deadline);
     if (name === undefined) {
       return url.searchParams.has('watch')
-        ? this.#changes(url, kind, response)
-        : this.#page(url, kind, deadline);
+        ? this.#waitForChanges(url, kind, response)
+        : this.#listPage(url, kind, deadline);
     }
     const key = `${kind}/${decodeURIComponent(name)}`;
     if (request.method === 'PUT') return this.#update(request, key, part === 'status', deadline);
     if (request.method === 'DELETE') {
       const revision = Number(url.searchParams.get('revision'));
       const isRemoved = await this.store.remove(key, revision, deadline);
-      return isRemoved ? found({}) : this.#conflict(key, deadline);
+      return isRemoved ? okReply({}) : this.#conflictReply(key, deadline);
     }
     const stored = await this.store.get(key, deadline);
-    return stored ? found(objectOf(stored)) : MISSING;
+    return stored ? okReply(objectOf(stored)) : NOT_FOUND;
   }
 
-  async #page(url: URL, kind: string, deadline: number): Promise<Reply> {
+  async #listPage(url: URL, kind: string, deadline: number): Promise<Reply> {
     const after = url.searchParams.get('after');
     const { objects, asOf } = await this.store.listing(kind, deadline);
     const left = after === null ? objects : objects.filter(({ key }) => key > `${kind}/${after}`);
-    const items = left.slice(0, PAGE).map(objectOf);
-    return found({ items, hasMore: left.length > PAGE, asOf });
+    const items = left.slice(0, PAGE_SIZE).map(objectOf);
+    return okReply({ items, hasMore: left.length > PAGE_SIZE, asOf });
   }
 
-  async #changes(url: URL, kind: string, response: ServerResponse): Promise<Reply> {
+  async #waitForChanges(url: URL, kind: string, response: ServerResponse): Promise<Reply> {
     const gone = new AbortController();
     response.once('close', () => gone.abort());
     const until = this.clock.now() + Number(url.searchParams.get('waitMs'));
@@ -113,7 +118,7 @@
         object: objectOf(object),
         deleted: isDeleted,
       }));
-      return found({ events, asOf });
+      return okReply({ events, asOf });
     } catch (error) {
       const isGone = error instanceof OutcomeError && error.reason === HISTORY_GONE;
       if (!isGone) throw error;
@@ -124,8 +129,8 @@
   async #create(request: IncomingMessage, kind: string, deadline: number): Promise<Reply> {
     const { metadata, spec } = JSON.parse(await text(request)) as StoredObject;
     const key = `${kind}/${metadata.name}`;
-    const stored = await this.store.create(key, valueOf(spec), deadline);
-    return stored ? found(objectOf(stored)) : this.#conflict(key, deadline);
+    const stored = await this.store.create(key, serializeSpec(spec), deadline);
+    return stored ? okReply(objectOf(stored)) : this.#conflictReply(key, deadline);
   }
 
   async #update(
@@ -137,23 +142,23 @@
     const { metadata, spec, status } = JSON.parse(await text(request)) as StoredObject;
     const { revision } = metadata;
     const stored = isStatus
-      ? await this.store.updateStatus(key, valueOf(status), revision, deadline)
-      : await this.store.update(key, valueOf(spec), revision, deadline);
-    return stored ? found(objectOf(stored)) : this.#conflict(key, deadline);
+      ? await this.store.updateStatus(key, serializeSpec(status), revision, deadline)
+      : await this.store.update(key, serializeSpec(spec), revision, deadline);
+    return stored ? okReply(objectOf(stored)) : this.#conflictReply(key, deadline);
   }
 
-  async #conflict(key: string, deadline: number): Promise<Reply> {
+  async #conflictReply(key: string, deadline: number): Promise<Reply> {
     const stored = await this.store.get(key, deadline);
-    return stored ? { status: 409, body: JSON.stringify(objectOf(stored)) } : MISSING;
+    return stored ? { status: 409, body: JSON.stringify(objectOf(stored)) } : NOT_FOUND;
   }
 }
 
-/** What a path names. */
-interface Addressed {
+/** Kind, name and part of the object that a URL addresses. */
+interface ObjectRequest {
   readonly url: URL;
   readonly kind: string;
   readonly name: string | undefined;
-  /** `status`, or nothing for the object itself. */
+  /** `status`, or undefined for the object itself. */
   readonly part: string | undefined;
 }
 
@@ -162,22 +167,22 @@
   readonly body: string;
 }
 
-/** An object as it goes over the wire. */
+/** An object as sent over HTTP. */
 interface StoredObject {
   readonly metadata: { readonly name: string; readonly revision: number };
   readonly spec: unknown;
   readonly status?: unknown;
 }
 
-/** Objects on one page of a listing. */
-const PAGE = 500;
-const MISSING: Reply = { status: 404, body: 'null' };
+/** Objects per page of a listing. */
+const PAGE_SIZE = 500;
+const NOT_FOUND: Reply = { status: 404, body: 'null' };
 
-function found(value: unknown): Reply {
+function okReply(value: unknown): Reply {
   return { status: 200, body: JSON.stringify(value) };
 }
 
-function answer(response: ServerResponse, status: number, body: string): void {
+function sendResponse(response: ServerResponse, status: number, body: string): void {
   if (response.destroyed) return;
   response.writeHead(status, {
     'content-type': 'application/json',
@@ -189,10 +194,10 @@
 function objectOf({ key, value, revision, created, status }: Stored) {
   const { name } = keyParts(key);
   const metadata = { name, revision, created, finalizers: [], deleting: false };
-  return { metadata, spec: specOf(value), status: specOf(status ?? 'null') };
+  return { metadata, spec: parseValue(value), status: parseValue(status ?? 'null') };
 }
 
-function specOf(value: string): unknown {
+function parseValue(value: string): unknown {
   try {
     return JSON.parse(value);
   } catch {
@@ -200,6 +205,6 @@
   }
 }
 
-function valueOf(spec: unknown): string {
+function serializeSpec(spec: unknown): string {
   return typeof spec === 'string' ? spec : JSON.stringify(spec);
 }
--- a/src/standins/platform_store.ts
+++ b/src/standins/platform_store.ts
@@ -1,4 +1,4 @@
-/** Stand-in for the platform's object API, in memory, with the faults the real one has. */
+/** In-memory stand-in for the platform's object API, with the faults of the real one. */
 import { OutcomeError, type Verdict } from '../contracts.js';
 import {
   type Changed,
@@ -13,20 +13,20 @@
 import { type Clock } from '../runtime/clock.js';
 import { firstIndex } from '../runtime/search.js';
 
-/** How the stand-in misbehaves. All can be set while it runs. */
+/** Faults of the stand-in. All can be set while it runs. */
 export interface Faults {
-  /** Every call fails and nothing takes effect. */
+  /** Every call fails without taking effect. */
   down: boolean;
-  /** Every call takes this much longer, in milliseconds. */
+  /** Extra latency of every call, in milliseconds. */
   slowMs: number;
-  /** Calls beyond these rates wait for their turn, or fail when their deadline comes first. */
+  /** Calls beyond these rates are delayed, or fail if their deadline passes first. */
   readsPerSecond: number;
   writesPerSecond: number;
-  /** So many of the next writes take effect and then lose their answer. */
+  /** Number of upcoming writes that take effect, but whose answer is lost. */
   loseAnswers: number;
 }
 
-/** How often each kind of call was made; a waiting watch counts as one. */
+/** Number of calls by kind; a watch counts once, however long it waits. */
 export interface Calls {
   reads: number;
   writes: number;
@@ -35,8 +35,8 @@
 
 const MS_PER_SECOND = 1000;
 
-/** Changes that can be followed; older ones are dropped. */
-const HISTORY = 10_000;
+/** Number of changes kept for watches; older ones are dropped. */
+const MAX_HISTORY_LENGTH = 10_000;
 
 interface Waiter {
   readonly prefix: string;
@@ -62,14 +62,14 @@
 
   #revision = 0;
 
-  /** What was changed last, oldest first. */
+  /** The most recent changes, oldest first. */
   #history: Changed[] = [];
 
   /** Revision up to which the history has been dropped. */
-  #droppedTo = 0;
+  #droppedUpTo = 0;
 
-  /** Instants at which the next read and the next write have their turn. */
-  readonly #turns = { read: 0, write: 0 };
+  /** Earliest times of the next read and the next write under the rates, in ms since the epoch. */
+  readonly #nextCallAt = { read: 0, write: 0 };
 
   constructor(private readonly clock: Clock) {
     super();
@@ -77,21 +77,21 @@
 
   async get(key: string, deadline: number): Promise<Stored | undefined> {
     this.calls.reads += 1;
-    await this.#admit('read', deadline);
+    await this.#applyFaults('read', deadline);
     return this.#values.get(key);
   }
 
   async list(range: Range, deadline: number): Promise<Stored[]> {
     this.calls.reads += 1;
-    await this.#admit('read', deadline);
-    return this.#match(range);
+    await this.#applyFaults('read', deadline);
+    return this.#select(range);
   }
 
   async create(key: string, value: string, deadline: number): Promise<Stored | undefined> {
     this.calls.writes += 1;
-    await this.#admit('write', deadline);
+    await this.#applyFaults('write', deadline);
     const stored = this.#values.has(key) ? undefined : this.#put(key, value);
-    return this.#answer(stored);
+    return this.#maybeLoseAnswer(stored);
   }
 
   async update(
@@ -101,9 +101,9 @@
     deadline: number,
   ): Promise<Stored | undefined> {
     this.calls.writes += 1;
-    await this.#admit('write', deadline);
+    await this.#applyFaults('write', deadline);
     const current = this.#values.get(key)?.revision === revision;
-    return this.#answer(current ? this.#put(key, value) : undefined);
+    return this.#maybeLoseAnswer(current ? this.#put(key, value) : undefined);
   }
 
   async updateStatus(
@@ -113,24 +113,24 @@
     deadline: number,
   ): Promise<Stored | undefined> {
     this.calls.writes += 1;
-    await this.#admit('write', deadline);
+    await this.#applyFaults('write', deadline);
     const held = this.#values.get(key);
     const current = held?.revision === revision;
-    return this.#answer(current ? this.#put(key, held.value, status) : undefined);
+    return this.#maybeLoseAnswer(current ? this.#put(key, held.value, status) : undefined);
   }
 
   async remove(key: string, revision: number, deadline: number): Promise<boolean> {
     this.calls.writes += 1;
-    await this.#admit('write', deadline);
+    await this.#applyFaults('write', deadline);
     const current = this.#values.get(key)?.revision === revision;
     if (current) this.#delete(key);
-    return this.#answer(current);
+    return this.#maybeLoseAnswer(current);
   }
 
   async listing(kind: string, deadline: number): Promise<Listing> {
     this.calls.reads += 1;
-    await this.#admit('read', deadline);
-    return { objects: this.#match({ prefix: `${kind}/` }), asOf: this.#revision };
+    await this.#applyFaults('read', deadline);
+    return { objects: this.#select({ prefix: `${kind}/` }), asOf: this.#revision };
   }
 
   async changes(
@@ -140,45 +140,45 @@
     signal?: AbortSignal,
   ): Promise<Changes> {
     this.calls.watches += 1;
-    await this.#admit('read', deadline);
+    await this.#applyFaults('read', deadline);
     const prefix = `${kind}/`;
     for (;;) {
-      if (asOf < this.#droppedTo) throw historyGone();
+      if (asOf < this.#droppedUpTo) throw historyGone();
       const changes = this.#history.filter(
         ({ object }) => object.revision > asOf && object.key.startsWith(prefix),
       );
       const isOver = this.clock.now() >= deadline || signal?.aborted;
       if (changes.length > 0 || isOver) return { changes, asOf: this.#revision };
-      await this.#change(prefix, deadline, signal);
+      await this.#waitForChange(prefix, deadline, signal);
       if (this.faults.down) throw unavailable();
     }
   }
 
-  /** Drops all history, as the platform does now and then. */
+  /** Drops all history, as the platform does from time to time. */
   compact(): void {
     this.#history = [];
-    this.#droppedTo = this.#revision;
+    this.#droppedUpTo = this.#revision;
     this.disturb();
   }
 
   async watch(range: Range, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
     this.calls.watches += 1;
-    await this.#admit('read', deadline);
+    await this.#applyFaults('read', deadline);
     while (this.clock.now() < deadline && !signal?.aborted) {
-      const found = this.#match(range);
+      const found = this.#select(range);
       if (found.length > 0) return found;
-      await this.#change(range.prefix, deadline, signal);
+      await this.#waitForChange(range.prefix, deadline, signal);
       if (this.faults.down) throw unavailable();
     }
     return [];
   }
 
-  /** Wakes waiting watches, so that those begun before an outage see it. */
+  /** Wakes all waiting watches, so that those started before an outage notice it. */
   disturb(): void {
     for (const waiter of [...this.#waiters]) waiter.wake();
   }
 
-  async #change(prefix: string, deadline: number, signal?: AbortSignal): Promise<void> {
+  async #waitForChange(prefix: string, deadline: number, signal?: AbortSignal): Promise<void> {
     const woken = new AbortController();
     const waiter: Waiter = { prefix, wake: () => woken.abort() };
     this.#waiters.add(waiter);
@@ -187,25 +187,25 @@
     this.#waiters.delete(waiter);
   }
 
-  async #admit(kind: 'read' | 'write', deadline: number): Promise<void> {
+  async #applyFaults(kind: 'read' | 'write', deadline: number): Promise<void> {
     const { slowMs } = this.faults;
-    const until = Math.min(this.#turn(kind) + slowMs, deadline);
+    const until = Math.min(this.#reserveTurn(kind) + slowMs, deadline);
     const isLate = until > this.clock.now();
     if (isLate) await this.clock.sleepUntil(until);
     if (this.faults.down) throw unavailable();
     if (isLate && until >= deadline) throw timedOut('not-run');
   }
 
-  /** The instant at which a call of that kind has its turn under the rate. */
-  #turn(kind: 'read' | 'write'): number {
+  /** Reserves and returns the time at which the rate admits the next call of a kind. */
+  #reserveTurn(kind: 'read' | 'write'): number {
     const { readsPerSecond, writesPerSecond } = this.faults;
     const rate = kind === 'read' ? readsPerSecond : writesPerSecond;
-    const turn = Math.max(this.clock.now(), this.#turns[kind]);
-    this.#turns[kind] = turn + MS_PER_SECOND / rate;
+    const turn = Math.max(this.clock.now(), this.#nextCallAt[kind]);
+    this.#nextCallAt[kind] = turn + MS_PER_SECOND / rate;
     return turn;
   }
 
-  #answer<T>(result: T): T {
+  #maybeLoseAnswer<T>(result: T): T {
     if (this.faults.loseAnswers > 0) {
       this.faults.loseAnswers -= 1;
       throw timedOut('may-have-run');
@@ -215,7 +215,7 @@
 
   #put(key: string, value: string, status = this.#values.get(key)?.status): Stored {
     if (Buffer.byteLength(value) > MAX_VALUE_BYTES) {
-      throw new OutcomeError(`value of ${key} is over ${MAX_VALUE_BYTES} bytes`, {
+      throw new OutcomeError(`value of ${key} is larger than ${MAX_VALUE_BYTES} bytes`, {
         verdict: 'not-run',
         reason: 'too-large',
       });
@@ -231,7 +231,7 @@
     };
     if (!this.#values.has(key)) this.#sortedKeys = undefined;
     this.#values.set(key, stored);
-    this.#remember({ object: stored, isDeleted: false });
+    this.#recordChange({ object: stored, isDeleted: false });
     return stored;
   }
 
@@ -240,18 +240,19 @@
     const object = { ...this.#values.get(key)!, revision: this.#revision };
     this.#values.delete(key);
     this.#sortedKeys = undefined;
-    this.#remember({ object, isDeleted: true });
+    this.#recordChange({ object, isDeleted: true });
   }
 
-  #remember(changed: Changed): void {
+  #recordChange(changed: Changed): void {
     this.#history.push(changed);
-    if (this.#history.length > HISTORY) this.#droppedTo = this.#history.shift()!.object.revision;
+    if (this.#history.length > MAX_HISTORY_LENGTH)
+      this.#droppedUpTo = this.#history.shift()!.object.revision;
     for (const waiter of [...this.#waiters]) {
       if (changed.object.key.startsWith(waiter.prefix)) waiter.wake();
     }
   }
 
-  #match(range: Range): Stored[] {
+  #select(range: Range): Stored[] {
     this.#sortedKeys ??= [...this.#values.keys()].sort();
     const { prefix, after, limit = Infinity } = range;
     const found: Stored[] = [];
@@ -273,7 +274,7 @@
 
 function historyGone(): OutcomeError {
   const props = { verdict: 'not-run', reason: HISTORY_GONE } as const;
-  return new OutcomeError('that history is gone', props);
+  return new OutcomeError('changes since that revision are no longer kept', props);
 }
 
 function timedOut(verdict: Verdict): OutcomeError {
--- a/src/standins/reached_platform.ts
+++ b/src/standins/reached_platform.ts
@@ -1,4 +1,4 @@
-/** The platform as one process reaches it: it can be cut off from it, or paused in mid-call. */
+/** A process's connection to the platform, which can be cut, or paused in the middle of a call. */
 import { OutcomeError } from '../contracts.js';
 import {
   type Changes,
@@ -66,16 +66,22 @@
     return this.#call(deadline, () => this.platform.watch(range, deadline, signal));
   }
 
-  /** An answer that meets a cut is lost: the caller waits in vain until its deadline. */
-  async #call<T>(deadline: number, run: () => Promise<T>): Promise<T> {
-    await this.gate.passed();
+  /** If the connection is cut before the answer, the call takes effect but times out at its deadline. */
+  async #call<T>(deadline: number, call: () => Promise<T>): Promise<T> {
+    await this.gate.waitUntilOpen();
     if (this.isCut()) {
-      throw new OutcomeError('platform out of reach', { verdict: 'not-run', reason: 'cut' });
+      throw new OutcomeError('platform unreachable: the connection is cut', {
+        verdict: 'not-run',
+        reason: 'cut',
+      });
     }
-    const answer = await run();
-    await this.gate.passed();
+    const answer = await call();
+    await this.gate.waitUntilOpen();
     if (!this.isCut()) return answer;
     await this.clock.sleepUntil(deadline);
-    throw new OutcomeError('answer lost', { verdict: 'may-have-run', reason: 'timeout' });
+    throw new OutcomeError('the answer of the platform was lost', {
+      verdict: 'may-have-run',
+      reason: 'timeout',
+    });
   }
 }
--- a/src/standins/upstream_conduct.ts
+++ b/src/standins/upstream_conduct.ts
@@ -1,26 +1,27 @@
-/** How the stand-in for an upstream instance treats a request: well, or in one of many bad ways. */
+/** Ways in which the stand-in for an upstream instance responds to a request: correct and faulty ones. */
 import { type ServerResponse } from 'node:http';
 import { type Socket } from 'node:net';
 import { Readable } from 'node:stream';
-import { type Call } from './upstream_server.js';
+import { type ReceivedRequest } from './upstream_server.js';
 
-/** Resolves to true if the instance is to die of the request. */
+/** Responds to a request. */
 export abstract class Conduct {
-  abstract answer(call: Call): Promise<boolean | void> | boolean | void;
+  /** Returns, or resolves to, true if the instance is to crash because of the request. */
+  abstract answer(received: ReceivedRequest): Promise<boolean | void> | boolean | void;
 }
 
 const SERVICE_UNAVAILABLE = 503;
 const RETRY_AFTER_S = 1;
 const CHUNK_BYTES = 16 * 1024;
 
-/** Answers whole, with the id and size of the request, or as many bytes as `x-bytes` says. */
+/** Sends a complete response: the id and size of the request, or a body of `x-bytes` bytes. */
 class Whole extends Conduct {
-  async answer({ incoming, response, id, upstream }: Call): Promise<void> {
+  async answer({ incoming, response, id, upstream }: ReceivedRequest): Promise<void> {
     let received = 0;
     for await (const chunk of incoming) received += (chunk as Buffer).length;
     const bytes = Number(incoming.headers['x-bytes'] ?? 0);
     if (bytes > 0) {
-      large(response, id, bytes);
+      sendLargeBody(response, id, bytes);
       return;
     }
     const body = JSON.stringify({ upstream, request: id, received });
@@ -33,31 +34,31 @@
   }
 }
 
-/** Breaks off in the middle of an answer that announced its length. */
+/** Breaks the connection in the middle of a response with a content length. */
 class CutWithLength extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     response.writeHead(200, { 'content-length': 1000, 'x-request': id });
     response.write('part', () => response.destroy());
   }
 }
 
-/** Breaks off in the middle of a chunked answer. */
+/** Breaks the connection in the middle of a chunked response. */
 class CutChunked extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     response.writeHead(200, { 'x-request': id });
     response.write('part', () => response.destroy());
   }
 }
 
-/** Answers without a length, and ends the answer with the connection. */
+/** Responds without content length or chunks; the end of the connection ends the response. */
 class Unframed extends Conduct {
   constructor(private readonly end: (socket: Socket) => void) {
     super();
   }
 
-  answer({ incoming, id }: Call): void {
+  answer({ incoming, id }: ReceivedRequest): void {
     incoming.resume();
     const { socket } = incoming;
     const head = `HTTP/1.1 200 OK\r\nconnection: close\r\nx-request: ${id}\r\n\r\n`;
@@ -65,39 +66,39 @@
   }
 }
 
-/** Runs the request and breaks the connection before it answers. */
+/** Runs the request and breaks the connection before responding. */
 class Break extends Conduct {
-  answer({ incoming }: Call): void {
+  answer({ incoming }: ReceivedRequest): void {
     incoming.socket.destroy();
   }
 }
 
-/** Dies of the request. */
+/** Crashes the instance. */
 class Crash extends Conduct {
   answer(): boolean {
     return true;
   }
 }
 
-/** Never answers, and keeps the connection. */
+/** Never responds, but keeps the connection open. */
 class Silent extends Conduct {
-  answer({ incoming }: Call): void {
+  answer({ incoming }: ReceivedRequest): void {
     incoming.resume();
   }
 }
 
-/** Begins an answer and never goes on. */
+/** Sends the beginning of a response and then stalls, keeping the connection open. */
 class Stall extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     response.writeHead(200, { 'content-length': 1000, 'x-request': id });
     response.write('part');
   }
 }
 
-/** Has no room. */
+/** Sheds load: responds with 503 and a `retry-after` header. */
 class Shed extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     response.writeHead(SERVICE_UNAVAILABLE, {
       'retry-after': String(RETRY_AFTER_S),
@@ -107,9 +108,9 @@
   }
 }
 
-/** Claims what only barleyhaven may claim. */
+/** Responds with forged `barleyhaven-` headers, which only barleyhaven itself may set. */
 class Forge extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     response.writeHead(200, {
       'barleyhaven-verdict': 'not-run',
@@ -121,17 +122,17 @@
   }
 }
 
-/** Answers before it has read the body, and never reads it. */
+/** Responds without ever reading the body of the request. */
 class Early extends Conduct {
-  answer({ response, id }: Call): void {
+  answer({ response, id }: ReceivedRequest): void {
     response.writeHead(200, { 'content-length': 5, 'x-request': id });
     response.end('early');
   }
 }
 
-/** Answers twice: the second answer comes when nobody has asked. */
+/** Sends two responses to one request; the second is unsolicited. */
 class Twice extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     const { socket } = incoming;
     response.writeHead(200, { 'content-length': 3, 'x-request': id });
@@ -141,9 +142,9 @@
   }
 }
 
-/** Hints, a chunked answer, and trailers after it. */
+/** Sends early hints, then a chunked response with trailers. */
 class Trailers extends Conduct {
-  answer({ incoming, response, id }: Call): void {
+  answer({ incoming, response, id }: ReceivedRequest): void {
     incoming.resume();
     response.writeEarlyHints({ link: '</style.css>; rel=preload' });
     response.writeHead(200, { trailer: 'x-sum', 'x-request': id });
@@ -176,8 +177,8 @@
   return CONDUCTS[name as ConductName];
 }
 
-/** Writes `bytes` bytes as fast as they are taken. */
-function large(response: ServerResponse, id: string, bytes: number): void {
+/** Sends a body of `bytes` bytes, paced by backpressure. */
+function sendLargeBody(response: ServerResponse, id: string, bytes: number): void {
   response.writeHead(200, { 'content-length': bytes, 'x-request': id });
   Readable.from(chunksOf(id, bytes)).pipe(response);
 }
--- a/src/standins/upstream_server.ts
+++ b/src/standins/upstream_server.ts
@@ -1,4 +1,4 @@
-/** Stand-in for an upstream instance: answers over HTTP, announces itself, counts what it runs. */
+/** Stand-in for an upstream instance: serves HTTP, announces itself and counts the requests it runs. */
 import { EventEmitter } from 'node:events';
 import {
   createServer,
@@ -16,9 +16,9 @@
 export interface UpstreamOptions {
   readonly upstream: string;
   readonly slots?: number;
-  /** Time an answer takes, in milliseconds. */
+  /** Time that each request takes, in milliseconds. */
   readonly delayMs?: number;
-  /** How it treats requests that ask for nothing else by `x-conduct`. */
+  /** How it responds to requests without an `x-conduct` header; correctly if absent. */
   readonly conduct?: Conduct;
 }
 
@@ -26,11 +26,12 @@
 const ANNOUNCE_EVERY_MS = 500;
 
 /**
- * Emits `run` with the `x-request` of each request that it begins, `answered` when it is done
- * with it, `cancelled` when the other end goes away before, and `disconnected` for each connection.
+ * Emits, with the `x-request` header of the request, `run` when a request begins, `answered` when its
+ * response is sent and `cancelled` if the client disconnects first; and `disconnected` when a
+ * connection closes.
  */
 export class UpstreamServer extends EventEmitter implements AsyncDisposable {
-  /** How often each `x-request` of a caller was run. */
+  /** Number of runs by `x-request` header. */
   readonly runs = new Map<string, number>();
 
   state: EndpointState = 'ready';
@@ -47,7 +48,7 @@
 
   #connections = 0;
 
-  /** Requests beyond the slots wait inside the upstream, whether or not anybody still does. */
+  /** Requests beyond the slots queue inside the upstream, even if their client has disconnected. */
   readonly #slots: PQueue;
 
   readonly #stopping = new AbortController();
@@ -87,15 +88,15 @@
     return this.#connections;
   }
 
-  /** Announces itself to the process beside it, again and again until disposed. */
+  /** Announces itself to its sidecar process periodically until disposed. */
   async announceTo(operatorsPort: number): Promise<void> {
     while (!this.#stopping.signal.aborted) {
-      await this.announceOnce(operatorsPort).catch(() => {});
+      await this.announce(operatorsPort).catch(() => {});
       await this.clock.sleepUntil(this.clock.now() + ANNOUNCE_EVERY_MS, this.#stopping.signal);
     }
   }
 
-  announceOnce(operatorsPort: number): Promise<void> {
+  announce(operatorsPort: number): Promise<void> {
     const body = JSON.stringify({
       upstream: this.options.upstream,
       state: this.state,
@@ -116,12 +117,12 @@
     });
   }
 
-  /** Dies as a process does: the port closes and all connections break. */
+  /** Simulates a crash: the port closes and all connections break. */
   async crash(): Promise<void> {
     await shut(this.#server);
   }
 
-  /** Starts anew at the same port. */
+  /** Listens on the same port again. */
   async restart(): Promise<void> {
     await listen(this.#server, this.#port);
   }
@@ -140,29 +141,29 @@
       this.emit(response.writableFinished ? 'answered' : 'cancelled', id);
     });
     this.emit('run', id, incoming);
-    await this.#work();
+    await this.#simulateWork();
     const { upstream } = this.options;
     const conduct = conductOf(incoming.headers['x-conduct']) ?? this.conduct;
-    await this.#treat(conduct ?? conductOf('whole')!, { incoming, response, id, upstream });
+    await this.#respond(conduct ?? conductOf('whole')!, { incoming, response, id, upstream });
   }
 
-  async #work(): Promise<void> {
+  async #simulateWork(): Promise<void> {
     if (this.delayMs === 0) return;
     await this.#slots.add(() => this.clock.sleepUntil(this.clock.now() + this.delayMs));
   }
 
-  /** A caller that goes away while its request is read ends only that exchange. */
-  async #treat(conduct: Conduct, call: Call): Promise<void> {
+  /** Ignores errors of clients that disconnect while their request is read. */
+  async #respond(conduct: Conduct, received: ReceivedRequest): Promise<void> {
     try {
-      if (await conduct.answer(call)) await this.crash();
+      if (await conduct.answer(received)) await this.crash();
     } catch (error) {
-      if (!call.incoming.errored) throw error;
+      if (!received.incoming.errored) throw error;
     }
   }
 }
 
-/** One request in hand. */
-export interface Call {
+/** A request being served, with its response. */
+export interface ReceivedRequest {
   readonly incoming: IncomingMessage;
   readonly response: ServerResponse;
   readonly id: string;
