--- a/src/standins/upstream_server.ts
+++ b/src/standins/upstream_server.ts
@@ -88,7 +88,7 @@
     return this.#connections;
   }
 
-  /** Announces itself to its sidecar process periodically until disposed. */
+  /** Announces itself periodically to the process beside it, until disposed. */
   async announceTo(operatorsPort: number): Promise<void> {
     while (!this.#stopping.signal.aborted) {
       await this.announce(operatorsPort).catch(() => {});
