--- a/src/bench/acceptance.ts
+++ b/src/bench/acceptance.ts
@@ -1,6 +1,7 @@
 /**
- * Measures acceptance: platform calls per note, the start of a reader with and without snapshots,
- * and ways to split a snapshot. Writes `bench/results/acceptance.json`.
+ * Measures platform calls per accepted release note, the time a reader needs to start with and
+ * without snapshots, and strategies for splitting a snapshot. Writes
+ * `bench/results/acceptance.json`.
  */
 import { ReleaseNote } from '../contracts.js';
 import { Reader } from '../distribution/reader.js';
@@ -15,22 +16,22 @@
 import { Source } from '../source/source.js';
 import { PlatformServer } from '../standins/platform_server.js';
 import { PlatformStore } from '../standins/platform_store.js';
-import { keep } from './results.js';
+import { saveResult } from './results.js';
 import { compareSplits } from './splits.js';
 
 const VERSIONS = 10_000;
 const RESOURCES = 500;
 const STARTS = 5;
-const PATIENCE_MS = 60_000;
+const SUBMIT_TIMEOUT_MS = 60_000;
 const POLL_MS = 1;
 
 const clock = new MachineClock();
 
-/** Accepts one note that adds all resources, then notes that change one resource each. */
-async function fill(store: PlatformStore): Promise<object> {
+/** Submits one note that adds all resources, then notes that change one resource each. */
+async function submitNotes(store: PlatformStore): Promise<object> {
   const source = new Source(store, clock, new SeededRandom(1));
   const names = Array.from({ length: RESOURCES }, (_, index) => `service-${index}`);
-  const deadline = () => clock.now() + PATIENCE_MS;
+  const deadline = () => clock.now() + SUBMIT_TIMEOUT_MS;
   const upstreams = names.map((name) => ({ name }));
   const first = ReleaseNote.parse({ id: 'first', author: 'dana', add: { upstreams } });
   await source.submit(first, deadline());
@@ -47,8 +48,8 @@
   return { notes: VERSIONS - 1, readsPerNote: perNote('reads'), writesPerNote: perNote('writes') };
 }
 
-/** Starts a reader until it has read all; over HTTP on loopback. */
-async function start(server: PlatformServer, hasSnapshots: boolean) {
+/** Starts a reader over HTTP on loopback and runs it until it has caught up with the log. */
+async function startReader(server: PlatformServer, hasSnapshots: boolean) {
   await using platform = new HttpPlatform(server.url, clock);
   const replica = new Replica();
   const log = new Log(platform);
@@ -70,13 +71,14 @@
   const calls = platform.meter.total;
   stopping.abort();
   await running;
-  if (replica.current.number !== VERSIONS) throw new Error('the reader is not at the head');
+  if (replica.current.number !== VERSIONS)
+    throw new Error(`reader caught up at version ${replica.current.number}, expected ${VERSIONS}`);
   return { tookMs, calls };
 }
 
-async function starts(server: PlatformServer, hasSnapshots: boolean): Promise<object> {
+async function measureStarts(server: PlatformServer, hasSnapshots: boolean): Promise<object> {
   const runs = [];
-  for (let run = 0; run < STARTS; run++) runs.push(await start(server, hasSnapshots));
+  for (let run = 0; run < STARTS; run++) runs.push(await startReader(server, hasSnapshots));
   const sorted = runs.map(({ tookMs }) => tookMs).sort((a, b) => a - b);
   const median = sorted[Math.floor(STARTS / 2)]!;
   return {
@@ -92,13 +94,13 @@
 }
 
 await using server = await PlatformServer.start(clock);
-const calls = await fill(server.store);
-const withSnapshots = await starts(server, true);
-const withoutSnapshots = await starts(server, false);
+const calls = await submitNotes(server.store);
+const withSnapshots = await measureStarts(server, true);
+const withoutSnapshots = await measureStarts(server, false);
 const result = {
   calls,
   start: { versions: VERSIONS, resources: RESOURCES, withSnapshots, withoutSnapshots },
   splits: compareSplits(),
 };
-await keep('acceptance', result);
+await saveResult('acceptance', result);
 console.log(JSON.stringify(result, undefined, 2));
--- a/src/bench/baseline.ts
+++ b/src/bench/baseline.ts
@@ -1,10 +1,10 @@
-/** Where the baseline keeps its configuration in the platform. */
+/** Platform keys under which the baseline stores its configuration. */
 
-/** Prefix of a small record per version, which everybody watches. */
-export const BASELINE_HEAD = 'baseline-versions';
-/** The whole configuration in one value. */
-export const BASELINE_WHOLE = 'baseline-configuration';
+/** Prefix of the small version records that every proxy watches. */
+export const BASELINE_VERSIONS_PREFIX = 'baseline-versions';
+/** Key of the whole configuration, stored as one value. */
+export const BASELINE_CONFIGURATION_KEY = 'baseline-configuration';
 
-export interface BaselineHead {
+export interface BaselineVersion {
   readonly number: number;
 }
--- a/src/bench/caller.ts
+++ b/src/bench/caller.ts
@@ -1,8 +1,8 @@
-/** A caller of the bench: sends one request and reads the whole answer. */
+/** HTTP client of the benchmarks: sends one request and reads the whole answer. */
 import { type Agent, type OutgoingHttpHeaders, request } from 'node:http';
 
-export interface Ask {
-  /** Address; loopback when absent. */
+export interface RequestOptions {
+  /** Defaults to loopback. */
   readonly host?: string;
   readonly port: number;
   readonly path: string;
@@ -18,9 +18,9 @@
   readonly body: string;
 }
 
-/** Resolves to the whole answer; rejects if it was cut. */
-export function ask(asked: Ask): Promise<Answer> {
-  const { host = '127.0.0.1', port, path, method = 'GET', headers, body, agent } = asked;
+/** Resolves to the complete answer; rejects if the connection fails or the answer is truncated. */
+export function ask(requestOptions: RequestOptions): Promise<Answer> {
+  const { host = '127.0.0.1', port, path, method = 'GET', headers, body, agent } = requestOptions;
   return new Promise((resolve, reject) => {
     const options = { host, port, path, method, headers, agent };
     const outgoing = request(options, (incoming) => {
--- a/src/bench/claims.ts
+++ b/src/bench/claims.ts
@@ -1,7 +1,7 @@
 /**
- * Claims a second that the platform's writes allow, one claim per object against claims of a key
- * range gathered into one conditional write. Several processes over one store in virtual time;
- * the decisions are the real `Claims`. Writes `bench/results/claims.json`.
+ * Measures how many claims per second the platform's write limit allows: one object per claim
+ * against claims of a key range batched into one conditional write. Several processes share one
+ * store in virtual time and run the production `Claims`. Writes `bench/results/claims.json`.
  */
 import { install, type Clock as FakeClock } from '@sinonjs/fake-timers';
 import { type Outcome, OutcomeError } from '../contracts.js';
@@ -13,12 +13,12 @@
 import { TimerClock } from '../runtime/clock.js';
 import { SeededRandom } from '../runtime/random.js';
 import { PlatformStore } from '../standins/platform_store.js';
-import { keep } from './results.js';
+import { saveResult } from './results.js';
 
 const WRITES_PER_SECOND = 400;
 const READS_PER_SECOND = 2_000;
 const LATENCY_MS = 4;
-const RUN_MS = 5;
+const EXECUTION_MS = 5;
 const TIMEOUT_MS = 2_000;
 const MEASURED_MS = 5_000;
 const SETTLING_MS = 3_000;
@@ -32,29 +32,33 @@
   ),
 };
 
-/** One way of keeping claims. */
-interface Way {
+/** One way of storing claims. */
+interface Strategy {
   readonly name: string;
-  readonly gathering?: Gathering;
-  /** Requests of a range all reach the same process. */
-  readonly isOwned: boolean;
+  readonly batching?: Gathering;
+  /** Whether all requests of a key range reach the same process. */
+  readonly isRoutedByKey: boolean;
 }
 
-const WAYS: readonly Way[] = [
-  { name: 'single', isOwned: false },
+const STRATEGIES: readonly Strategy[] = [
+  { name: 'single', isRoutedByKey: false },
   ...[5, 20].flatMap((windowMs) => [
-    { name: `gathered, ${windowMs} ms`, gathering: { ranges: RANGES, windowMs }, isOwned: false },
+    {
+      name: `gathered, ${windowMs} ms`,
+      batching: { ranges: RANGES, windowMs },
+      isRoutedByKey: false,
+    },
     {
       name: `gathered, ${windowMs} ms, routed by key`,
-      gathering: { ranges: RANGES, windowMs },
-      isOwned: true,
+      batching: { ranges: RANGES, windowMs },
+      isRoutedByKey: true,
     },
   ]),
 ];
 const CLAIMS_PER_SECOND = [20, 65, 130, 250, 1_000];
-const PROCESSES = [2, 8, 64, 740];
+const PROCESS_COUNTS = [2, 8, 64, 740];
 
-/** Counts the bytes that go to the platform. */
+/** Counts the bytes written to the platform. */
 class CountingStore extends PlatformStore {
   bytes = 0;
 
@@ -69,7 +73,7 @@
   }
 }
 
-class Trial {
+class LoadRun {
   readonly #clock = new TimerClock();
 
   readonly #random = new SeededRandom(SEED);
@@ -82,7 +86,7 @@
 
   constructor(
     private readonly timers: FakeClock,
-    private readonly way: Way,
+    private readonly way: Strategy,
     processes: number,
     private readonly rate: number,
   ) {
@@ -97,7 +101,7 @@
 
   async run() {
     const count = (this.rate * MEASURED_MS) / 1000;
-    for (let request = 0; request < count; request++) void this.#arrive(request);
+    for (let request = 0; request < count; request++) void this.#handleRequest(request);
     await this.timers.tickAsync(MEASURED_MS + SETTLING_MS);
     this.#addedMs.sort((a, b) => a - b);
     const made = this.#addedMs.length;
@@ -116,46 +120,47 @@
     };
   }
 
-  async #arrive(request: number): Promise<void> {
+  async #handleRequest(request: number): Promise<void> {
     await this.#clock.sleepUntil(this.#clock.now() + this.#random.jitter(MEASURED_MS));
     const key = `key-${request}`;
-    // Spread alike over the processes; `isOwned` keeps the requests of a range together.
-    const turn = this.way.isOwned ? request % RANGES : request;
-    const claims = this.#processes[turn % this.#processes.length]!;
+    // Requests are spread evenly; with `isRoutedByKey`, those of a range reach one process.
+    const index = this.way.isRoutedByKey ? request % RANGES : request;
+    const claims = this.#processes[index % this.#processes.length]!;
     const askedAt = this.#clock.now();
     const deadline = askedAt + TIMEOUT_MS;
     try {
       const admission = await claims.admit({ route: 'seats', key, fingerprint: key, deadline });
-      if (admission.kind !== 'run') throw new Error('a key was used twice');
+      if (admission.kind !== 'run')
+        throw new Error(`new key ${key} was not admitted to run: ${admission.kind}`);
       this.#addedMs.push(this.#clock.now() - askedAt);
       admission.claim.start();
-      await this.#clock.sleepUntil(this.#clock.now() + RUN_MS);
+      await this.#clock.sleepUntil(this.#clock.now() + EXECUTION_MS);
       admission.claim.settle(OUTCOME);
     } catch (error) {
       if (!(error instanceof OutcomeError)) throw error;
-      // Counted as not made.
+      // The claim was not made in time; only successful claims are counted.
     }
   }
 
   #claimStore(): ClaimStore {
-    const { gathering, isOwned } = this.way;
+    const { batching, isRoutedByKey } = this.way;
     const platform: Platform = this.#store;
-    if (!gathering) return new SingleClaims(platform, this.#clock, this.#random);
-    const store = new RangeClaims(platform, this.#clock, this.#random, gathering);
-    return isOwned ? new OwnedRanges(store) : store;
+    if (!batching) return new SingleClaims(platform, this.#clock, this.#random);
+    const store = new RangeClaims(platform, this.#clock, this.#random, batching);
+    return isRoutedByKey ? new KeyRoutedRanges(store) : store;
   }
 }
 
-/** Puts a request into the range that its process owns, as routing by key hash would. */
-class OwnedRanges implements ClaimStore {
+/** Assigns a request to the range of its process, as routing by key hash would. */
+class KeyRoutedRanges implements ClaimStore {
   constructor(private readonly store: RangeClaims) {}
 
   acquire(...[id, claim, deadline]: Parameters<ClaimStore['acquire']>) {
-    return this.store.acquire(owned(id, claim.fingerprint), claim, deadline);
+    return this.store.acquire(withRoutedRange(id, claim.fingerprint), claim, deadline);
   }
 
   settle(...[id, claim, deadline]: Parameters<ClaimStore['settle']>) {
-    return this.store.settle(owned(id, claim.fingerprint), claim, deadline);
+    return this.store.settle(withRoutedRange(id, claim.fingerprint), claim, deadline);
   }
 
   release(...[id, nonce, deadline]: Parameters<ClaimStore['release']>) {
@@ -163,8 +168,8 @@
   }
 }
 
-/** The id with its first digits, which choose the range, replaced by the range's number. */
-function owned(id: string, key: string): string {
+/** Replaces the leading digits of the id, which select the range, with the range's number. */
+function withRoutedRange(id: string, key: string): string {
   const range = Number(key.slice('key-'.length)) % RANGES;
   return range.toString(16).padStart(8, '0') + id.slice(8);
 }
@@ -175,10 +180,10 @@
 
 const runs = [];
 for (const rate of CLAIMS_PER_SECOND) {
-  for (const processes of PROCESSES) {
-    for (const way of WAYS) {
+  for (const processes of PROCESS_COUNTS) {
+    for (const way of STRATEGIES) {
       const timers = install({ now: 1_000_000 });
-      const result = await new Trial(timers, way, processes, rate).run();
+      const result = await new LoadRun(timers, way, processes, rate).run();
       timers.uninstall();
       runs.push({ claimsPerSecond: rate, ...result });
     }
@@ -189,5 +194,5 @@
   readsPerSecond: READS_PER_SECOND,
   latencyMs: LATENCY_MS,
 };
-await keep('claims', { platform, ranges: RANGES, measuredMs: MEASURED_MS, seed: SEED, runs });
+await saveResult('claims', { platform, ranges: RANGES, measuredMs: MEASURED_MS, seed: SEED, runs });
 console.table(runs);
--- a/src/bench/demo.ts
+++ b/src/bench/demo.ts
@@ -1,4 +1,7 @@
-/** The main job in under half a minute, over stand-ins: see the README. */
+/**
+ * Demonstrates release notes and request handling on an in-process fleet, with stand-ins for the
+ * platform and the upstreams. Takes less than half a minute; described in the README.
+ */
 import { Agent } from 'node:http';
 import { type AuditPage, ReleaseNote } from '../contracts.js';
 import { MachineClock } from '../runtime/clock.js';
@@ -9,8 +12,8 @@
 import { Fleet } from './fleet.js';
 
 const clock = new MachineClock();
-const CONVERGE_MS = 5_000;
-const SETTLE_MS = 8_000;
+const CONVERGENCE_TIMEOUT_MS = 5_000;
+const JOIN_TIMEOUT_MS = 8_000;
 const REQUESTS = 1_000;
 const CALLERS = 20;
 
@@ -46,28 +49,28 @@
   withdraw: { routes: ['seats'] },
 });
 
-let failed = false;
+let hasFailed = false;
 
-function show(text: string, holds = true): void {
-  if (!holds) failed = true;
-  console.log(`${holds ? ' ok ' : 'FAIL'}  ${text}`);
+function report(text: string, isPassed = true): void {
+  if (!isPassed) hasFailed = true;
+  console.log(`${isPassed ? ' ok ' : 'FAIL'}  ${text}`);
 }
 
-async function inForce(fleet: Fleet, client: Client, note: ReleaseNote): Promise<void> {
+async function publish(fleet: Fleet, client: Client, note: ReleaseNote): Promise<void> {
   const startedAt = clock.now();
   const acceptance = await client.call<Acceptance>('submit', note);
   const number = acceptance.outcome === 'accepted' ? acceptance.record.version.number : Infinity;
-  const holding = () =>
+  const isHeldEverywhere = () =>
     fleet.stations.every(({ instance }) => instance.replica.current.number >= number);
-  const held = await fleet.until(holding, clock.now() + CONVERGE_MS);
-  const took = Math.round(clock.now() - startedAt);
-  show(
-    `${note.id}: ${acceptance.outcome} as version ${number}, in force everywhere in ${took} ms`,
-    held,
+  const isConverged = await fleet.until(isHeldEverywhere, clock.now() + CONVERGENCE_TIMEOUT_MS);
+  const tookMs = Math.round(clock.now() - startedAt);
+  report(
+    `${note.id}: ${acceptance.outcome} as version ${number}, held by all processes after ${tookMs} ms`,
+    isConverged,
   );
 }
 
-async function load(fleet: Fleet, path: string, name: string): Promise<void> {
+async function sendRequests(fleet: Fleet, path: string, name: string): Promise<void> {
   using agent = disposable(new Agent({ keepAlive: true, maxSockets: CALLERS }));
   let sent = 0;
   const counts = { answered: 0, notRun: 0, wrong: 0 };
@@ -75,7 +78,7 @@
     while (sent < REQUESTS) {
       sent += 1;
       const id = `${name}-${sent}`;
-      const { port } = pick(fleet, sent);
+      const { port } = pickProxy(fleet, sent);
       const answer = await ask({ port, path, headers: { 'x-request': id }, agent: agent.value });
       const runs = fleet.stations.reduce(
         (sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0),
@@ -90,13 +93,13 @@
   };
   await Promise.all(Array.from({ length: CALLERS }, caller));
   const { answered, notRun, wrong } = counts;
-  show(
-    `${name}: ${answered} answered once, ${notRun} refused as not run, ${wrong} lost or doubled`,
+  report(
+    `${name}: ${answered} answered once, ${notRun} refused as not run, ${wrong} lost or run twice`,
     wrong === 0,
   );
 }
 
-function pick(fleet: Fleet, turn: number): { port: number } {
+function pickProxy(fleet: Fleet, turn: number): { port: number } {
   return { port: fleet.stations[turn % fleet.stations.length]!.instance.callerPort };
 }
 
@@ -112,29 +115,29 @@
   });
   const [first] = fleet.stations;
   const size = fleet.stations.length;
-  const acquainted = () =>
+  const isJoined = () =>
     fleet.stations.every(
       ({ instance }) =>
         instance.isReady &&
         instance.roster.live().filter((member) => member.endpoint?.state === 'ready').length ===
           size,
     );
-  show(
-    `${size} proxies in 3 data centres know each other and are ready`,
-    await fleet.until(acquainted, clock.now() + SETTLE_MS),
+  report(
+    `${size} proxies in 3 data centres have joined the mesh and are ready`,
+    await fleet.until(isJoined, clock.now() + JOIN_TIMEOUT_MS),
   );
   const client = new Client(`127.0.0.1:${first!.instance.operatorsPort}`);
-  await inForce(fleet, client, FIRST_NOTE);
-  await load(fleet, '/menus/today', 'menus');
-  const closing = load(fleet, '/seats/12', 'seats while their route is withdrawn');
+  await publish(fleet, client, FIRST_NOTE);
+  await sendRequests(fleet, '/menus/today', 'menus');
+  const closingLoad = sendRequests(fleet, '/seats/12', 'seats while their route is withdrawn');
   await clock.sleepUntil(clock.now() + 60);
-  await inForce(fleet, client, CLOSING_NOTE);
-  await closing;
+  await publish(fleet, client, CLOSING_NOTE);
+  await closingLoad;
   console.log('\nAudit trail:');
   const { entries } = await client.call<AuditPage>('audit');
   console.log(renderAudit(entries));
 }
 
 await main();
-console.log(failed ? '\nThe demo failed.' : '\nAll of it held.');
-process.exitCode = failed ? 1 : 0;
+console.log(hasFailed ? '\nThe demo failed.' : '\nAll checks passed.');
+process.exitCode = hasFailed ? 1 : 0;
--- a/src/bench/deployment.ts
+++ b/src/bench/deployment.ts
@@ -1,4 +1,4 @@
-/** A platform and many proxies as real processes. */
+/** A platform and many proxies, each running as a process of its own. */
 import { type ReleaseNote, type Snapshot } from '../contracts.js';
 import { type Acceptance } from '../source/acceptance.js';
 import { Configuration } from '../configuration/configuration.js';
@@ -6,9 +6,9 @@
 import { type Clock } from '../runtime/clock.js';
 import { Ownership } from '../runtime/ownership.js';
 import { Client } from '../tool/client.js';
-import { BASELINE_HEAD, BASELINE_WHOLE } from './baseline.js';
+import { BASELINE_VERSIONS_PREFIX, BASELINE_CONFIGURATION_KEY } from './baseline.js';
 import { getJson } from './http.js';
-import { openingNote } from './notes.js';
+import { initialNote } from './notes.js';
 import { Program, type Usage } from './processes.js';
 import { HttpPlatform } from '../platform/http_platform.js';
 
@@ -16,33 +16,32 @@
   readonly processes: number;
   readonly dataCentres: number;
   readonly profile: 'convergence' | 'bytes';
-  /** Services of the first configuration; none is put in force when absent. */
+  /** Number of services in the initial configuration; none is submitted when absent. */
   readonly services?: number;
 }
 
-/** A proxy of either kind, with what the bench has seen of it. */
+/** A daemon or a baseline proxy, with what was observed of it. */
 export interface Proxy {
   readonly name: string;
   readonly args: readonly string[];
   program: Program;
-  /** Highest version that it was seen to hold. */
+  /** Highest version observed. */
   version: number;
-  /** Times that it was seen with a lower version than before. */
+  /** Number of times a lower version than before was observed. */
   rollbacks: number;
 }
 
-/** How many processes are started at the same time. */
-const STARTING_AT_ONCE = 16;
+const MAX_PARALLEL_STARTS = 16;
 const SEEDS = 3;
-const WAIT_MS = 5_000;
-const LATE_MS = 30_000;
-const PLATFORM_CALL_MS = 10_000;
+const LONG_POLL_MS = 5_000;
+const CONVERGENCE_TIMEOUT_MS = 30_000;
+const PLATFORM_CALL_TIMEOUT_MS = 10_000;
 
-/** What all deployments have in common: a platform, proxies, and the counting from outside. */
+/** Base of all deployments: a platform and proxies, measured from outside their processes. */
 export abstract class Deployment implements AsyncDisposable {
   readonly proxies: Proxy[] = [];
 
-  protected readonly owned = new Ownership();
+  protected readonly resources = new Ownership();
 
   platform!: Program;
 
@@ -51,39 +50,44 @@
     readonly clock: Clock,
   ) {}
 
-  /** Puts the next version in force; resolves to its number once it is accepted. */
-  abstract accept(note: ReleaseNote): Promise<number>;
+  /** Submits the next version; resolves to its number once it is accepted. */
+  abstract submit(note: ReleaseNote): Promise<number>;
 
   protected abstract startProxy(name: string, index: number): Promise<Proxy>;
 
-  /** Starts everything and waits until the first configuration is held everywhere. */
+  /** Starts all processes and waits until every proxy holds the initial configuration. */
   async open(): Promise<void> {
-    this.platform = this.owned.use(await Program.start('bench/platform_main', []));
+    this.platform = this.resources.use(await Program.start('bench/platform_main', []));
     const { processes } = this.options;
-    // The first one alone: were several to start without peers, each would be an island at first.
-    await this.#startSome(0, 1);
-    await this.#startSome(1, Math.min(SEEDS, processes));
-    for (let from = SEEDS; from < processes; from += STARTING_AT_ONCE) {
-      await this.#startSome(from, Math.min(from + STARTING_AT_ONCE, processes));
+    // Proxies started together without peers would each form a mesh of one, so one starts alone.
+    await this.#startRange(0, 1);
+    await this.#startRange(1, Math.min(SEEDS, processes));
+    for (let from = SEEDS; from < processes; from += MAX_PARALLEL_STARTS) {
+      await this.#startRange(from, Math.min(from + MAX_PARALLEL_STARTS, processes));
     }
     const { services } = this.options;
-    if (services !== undefined) await this.putInForce(openingNote(services));
+    if (services !== undefined) await this.submitAndWait(initialNote(services));
   }
 
-  /** Resolves once every proxy was seen to hold the note's version; rejects if one is late. */
-  async putInForce(note: ReleaseNote): Promise<number> {
-    const number = await this.accept(note);
-    await this.heldEverywhere(number);
+  /** Resolves once every proxy holds the note's version; rejects if one does not in time. */
+  async submitAndWait(note: ReleaseNote): Promise<number> {
+    const number = await this.submit(note);
+    await this.waitUntilHeldEverywhere(number);
     return number;
   }
 
-  async heldEverywhere(number: number): Promise<void> {
-    const deadline = this.clock.now() + LATE_MS;
-    const held = await Promise.all(this.proxies.map((proxy) => this.held(proxy, number, deadline)));
-    if (held.includes(undefined)) throw new Error(`version ${number} was not held everywhere`);
+  async waitUntilHeldEverywhere(number: number): Promise<void> {
+    const deadline = this.clock.now() + CONVERGENCE_TIMEOUT_MS;
+    const instants = await Promise.all(
+      this.proxies.map((proxy) => this.waitUntilHeld(proxy, number, deadline)),
+    );
+    if (instants.includes(undefined))
+      throw new Error(
+        `version ${number} did not reach all ${this.proxies.length} proxies within ${CONVERGENCE_TIMEOUT_MS} ms`,
+      );
   }
 
-  /** Times that a proxy was seen with a lower version than before. */
+  /** Number of times any proxy was observed with a lower version than before. */
   get rollbacks(): number {
     return this.proxies.reduce((sum, proxy) => sum + proxy.rollbacks, 0);
   }
@@ -92,11 +96,14 @@
     return `http://127.0.0.1:${this.platform.ports.port}`;
   }
 
-  /** Resolves to the instant at which the proxy was seen to hold `number`, or undefined if late. */
-  async held(proxy: Proxy, number: number, deadline: number): Promise<number | undefined> {
+  /**
+   * Resolves to the instant at which the proxy was observed to hold version `number` or a later
+   * one; undefined if it does not by the deadline.
+   */
+  async waitUntilHeld(proxy: Proxy, number: number, deadline: number): Promise<number | undefined> {
     while (this.clock.now() < deadline) {
-      const waitMs = Math.round(Math.min(WAIT_MS, deadline - this.clock.now()));
-      const seen = await this.#look(proxy, `/version?above=${number - 1}&wait=${waitMs}`);
+      const waitMs = Math.round(Math.min(LONG_POLL_MS, deadline - this.clock.now()));
+      const seen = await this.#fetchVersion(proxy, `/version?above=${number - 1}&wait=${waitMs}`);
       if (seen !== undefined && seen >= number) return this.clock.now();
     }
     return undefined;
@@ -108,17 +115,17 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     await Promise.all(this.proxies.map(({ program }) => program.kill()));
-    await this.owned[Symbol.asyncDispose]();
+    await this.resources[Symbol.asyncDispose]();
   }
 
-  async #startSome(from: number, to: number): Promise<void> {
+  async #startRange(from: number, to: number): Promise<void> {
     const indices = Array.from({ length: to - from }, (_, offset) => from + offset);
     this.proxies.push(
       ...(await Promise.all(indices.map((index) => this.startProxy(`proxy-${index}`, index)))),
     );
   }
 
-  async #look(proxy: Proxy, path: string): Promise<number | undefined> {
+  async #fetchVersion(proxy: Proxy, path: string): Promise<number | undefined> {
     try {
       const port = proxy.program.ports.operatorsPort!;
       const { number } = await getJson<{ number: number }>(port, path);
@@ -132,29 +139,31 @@
   }
 }
 
-/** Ours: the daemon as it ships. */
-export class Ours extends Deployment {
-  /** Hands the note to one of the daemons. */
-  async accept(note: ReleaseNote, to: Proxy = this.proxies[0]!): Promise<number> {
+/** A deployment of `barleyhavend`, as it ships. */
+export class DaemonDeployment extends Deployment {
+  /** Submits the note to one of the daemons. */
+  async submit(note: ReleaseNote, to: Proxy = this.proxies[0]!): Promise<number> {
     const client = new Client(`127.0.0.1:${to.program.ports.operatorsPort}`);
     const acceptance = await client.call<Acceptance>('submit', note);
     if (acceptance.outcome !== 'accepted') throw new Error(JSON.stringify(acceptance));
     return acceptance.record.version.number;
   }
 
-  /** What a proxy holds, checked here and not by itself. */
-  async inspect(proxy: Proxy): Promise<{ whole: boolean; closed: boolean; number: number }> {
+  /** Checks the configuration of a proxy in this process, without relying on the proxy's checks. */
+  async inspect(
+    proxy: Proxy,
+  ): Promise<{ isDigestValid: boolean; isConfigurationValid: boolean; number: number }> {
     const port = proxy.program.ports.operatorsPort!;
     const { number, digest, parent, resources } = await getJson<Snapshot>(port, '/configuration');
     const configuration = Configuration.of(number, digest, resources);
     return {
       number,
-      whole: configuration.matches(parent),
-      closed: validate(configuration).length === 0,
+      isDigestValid: configuration.matches(parent),
+      isConfigurationValid: validate(configuration).length === 0,
     };
   }
 
-  /** Starts a killed proxy again, at the same ports. */
+  /** Restarts a killed proxy on the same ports. */
   async restart(proxy: Proxy): Promise<void> {
     const { callerPort, guardPort, linkPort, operatorsPort } = proxy.program.ports;
     const ports = [
@@ -177,28 +186,27 @@
         ? [`--peers=${seeds.map((port) => `127.0.0.1:${port}`).join(',')}`]
         : []),
     ];
-    const anyPorts = ['caller', 'guard', 'link', 'operators'].map((kind) => `--${kind}-port=0`);
-    const program = await Program.start('barleyhavend', [...args, ...anyPorts]);
+    const portFlags = ['caller', 'guard', 'link', 'operators'].map((kind) => `--${kind}-port=0`);
+    const program = await Program.start('barleyhavend', [...args, ...portFlags]);
     return { name, args, program, version: 0, rollbacks: 0 };
   }
 }
 
-/** The baseline: every proxy watches the source and reads it whole. */
-export class Baseline extends Deployment {
+/** A deployment of `baseline_main`: every proxy watches the platform for versions. */
+export class BaselineDeployment extends Deployment {
   #number = 0;
 
-  /** The configuration that the baseline's proxies read whole. */
-  readonly #whole = openingNote(this.options.services ?? 0);
+  readonly #configuration = initialNote(this.options.services ?? 0);
 
-  async accept(): Promise<number> {
+  async submit(): Promise<number> {
     const number = this.#number + 1;
-    const deadline = this.clock.now() + PLATFORM_CALL_MS;
+    const deadline = this.clock.now() + PLATFORM_CALL_TIMEOUT_MS;
     await using platform = new HttpPlatform(new URL(this.platformUrl), this.clock);
-    const value = JSON.stringify({ number, configuration: this.#whole });
-    const before = await platform.get(BASELINE_WHOLE, deadline);
-    if (before) await platform.update(BASELINE_WHOLE, value, before.revision, deadline);
-    else await platform.create(BASELINE_WHOLE, value, deadline);
-    const key = `${BASELINE_HEAD}/${String(number).padStart(12, '0')}`;
+    const value = JSON.stringify({ number, configuration: this.#configuration });
+    const before = await platform.get(BASELINE_CONFIGURATION_KEY, deadline);
+    if (before) await platform.update(BASELINE_CONFIGURATION_KEY, value, before.revision, deadline);
+    else await platform.create(BASELINE_CONFIGURATION_KEY, value, deadline);
+    const key = `${BASELINE_VERSIONS_PREFIX}/${String(number).padStart(12, '0')}`;
     await platform.create(key, JSON.stringify({ number }), deadline);
     this.#number = number;
     return number;
--- a/src/bench/depth.ts
+++ b/src/bench/depth.ts
@@ -1,52 +1,53 @@
 /**
- * Calls twelve deep whose deepest service fails: attempts at each depth per call from outside,
- * under plain retries and under the retry budget. Services are modelled as nested calls in virtual
- * time; the decisions are those of `RetryBudget` itself. Writes `bench/results/depth.json`.
+ * Measures retry amplification in a call chain of twelve services whose deepest one fails: attempts
+ * at each depth per external call, with plain retries and with the retry budget. Services are
+ * modelled as nested calls in virtual time, using the production `RetryBudget`. Writes
+ * `bench/results/depth.json`.
  */
 import { MAX_ATTEMPTS, RetryBudget } from '../placement/retry_budget.js';
 import { Clock } from '../runtime/clock.js';
 import { SeededRandom } from '../runtime/random.js';
-import { keep } from './results.js';
+import { saveResult } from './results.js';
 
 const DEPTH = 12;
-/** The design size gives each process 65 calls a second. */
+/** Each process handles 65 calls per second at the design size. */
 const CALL_EVERY_MS = 1000 / 65;
 const TIMEOUT_MS = 10_000;
 const RETRY_PERCENT = 10;
 const SEED = 5;
 
-/** How the services of one run retry. */
-interface Policy {
+/** How the services of a run retry. */
+interface RetryPolicy {
   readonly name: string;
   readonly budget: 'none' | 'earned-by-first-attempts' | 'earned-by-answers';
-  /** Whether applications pass the marker of a retry on, up and down. */
-  readonly passesMarker: boolean;
+  /** Whether applications propagate the retry marker to their calls and their answers. */
+  readonly propagatesMarker: boolean;
 }
 
 const CALLS = 4_000;
-/** Under plain retries a call that fails for good costs some 800,000 attempts: a few suffice. */
+/** Each call that always fails costs about 800,000 attempts with plain retries. */
 const PLAIN_FAILING_CALLS = 10;
 
-const POLICIES: readonly Policy[] = [
-  { name: 'plain: three attempts at each hop', budget: 'none', passesMarker: false },
+const POLICIES: readonly RetryPolicy[] = [
+  { name: 'plain: three attempts at each hop', budget: 'none', propagatesMarker: false },
   {
     name: 'budget earned by first attempts, marker not passed on',
     budget: 'earned-by-first-attempts',
-    passesMarker: false,
+    propagatesMarker: false,
   },
   {
     name: 'budget earned by answers, marker not passed on',
     budget: 'earned-by-answers',
-    passesMarker: false,
+    propagatesMarker: false,
   },
   {
     name: 'budget earned by answers, marker passed on',
     budget: 'earned-by-answers',
-    passesMarker: true,
+    propagatesMarker: true,
   },
 ];
 
-/** Time that moves only when the model says so. */
+/** Advances only when the model sets it. */
 class VirtualClock extends Clock {
   instant = 0;
 
@@ -62,12 +63,12 @@
 
 interface Reply {
   readonly isAnswered: boolean;
-  /** The marker `barleyhaven-retried`. */
+  /** Whether the answer carries the marker `barleyhaven-retried`. */
   readonly isRetried: boolean;
 }
 
-class Chain {
-  /** Attempts that reached each depth. */
+class CallChain {
+  /** Attempts that reached each depth, by depth. */
   readonly attempts = new Array<number>(DEPTH).fill(0);
 
   readonly #clock = new VirtualClock();
@@ -80,61 +81,61 @@
   );
 
   constructor(
-    private readonly policy: Policy,
-    private readonly failing: number,
+    private readonly policy: RetryPolicy,
+    private readonly failureRate: number,
   ) {}
 
-  /** One call from outside; whether it was answered. */
+  /** Makes one external call; returns whether it was answered. */
   call(): boolean {
     this.#clock.instant += CALL_EVERY_MS;
-    return this.#hop(0, false).isAnswered;
+    return this.#callWithRetries(0, false).isAnswered;
   }
 
-  /** The entry in front of the service at `depth`: attempts until answered or given up. */
-  #hop(depth: number, isRetriedAbove: boolean): Reply {
+  /** The entry that calls the service at `depth`: tries until it answers or a retry is denied. */
+  #callWithRetries(depth: number, isRetriedAbove: boolean): Reply {
     const budget = this.#budgets[depth]!;
-    const { passesMarker, budget: kind } = this.policy;
+    const { propagatesMarker, budget: kind } = this.policy;
     const deadline = this.#clock.now() + TIMEOUT_MS;
     if (kind === 'earned-by-first-attempts') budget.credit(RETRY_PERCENT);
     let isRetried = false;
     for (let attempts = 1; ; attempts++) {
-      const reply = this.#serve(depth, passesMarker && (isRetriedAbove || isRetried));
+      const reply = this.#attempt(depth, propagatesMarker && (isRetriedAbove || isRetried));
       const marked = isRetried || reply.isRetried;
       if (reply.isAnswered) {
         if (kind === 'earned-by-answers') budget.credit(RETRY_PERCENT);
-        return { isAnswered: true, isRetried: passesMarker && marked };
+        return { isAnswered: true, isRetried: propagatesMarker && marked };
       }
       const failed = {
-        // The worst case: every application passes the refusal on as one of its own.
+        // The worst case: every application returns the refusal of its dependency as its own.
         verdict: 'not-run',
         reason: 'overloaded',
         attempts,
         repeatable: true,
-        retriedElsewhere: passesMarker && (isRetriedAbove || reply.isRetried),
+        retriedElsewhere: propagatesMarker && (isRetriedAbove || reply.isRetried),
         deadline,
       } as const;
       const isGranted =
         kind === 'none' ? attempts < MAX_ATTEMPTS : budget.retry(failed, RETRY_PERCENT);
-      if (!isGranted) return { isAnswered: false, isRetried: passesMarker && marked };
+      if (!isGranted) return { isAnswered: false, isRetried: propagatesMarker && marked };
       isRetried = true;
     }
   }
 
-  #serve(depth: number, isRetriedAbove: boolean): Reply {
+  #attempt(depth: number, isRetriedAbove: boolean): Reply {
     this.attempts[depth]! += 1;
-    if (depth + 1 < DEPTH) return this.#hop(depth + 1, isRetriedAbove);
-    return { isAnswered: this.#random.next() >= this.failing, isRetried: false };
+    if (depth + 1 < DEPTH) return this.#callWithRetries(depth + 1, isRetriedAbove);
+    return { isAnswered: this.#random.next() >= this.failureRate, isRetried: false };
   }
 }
 
-function measure(policy: Policy, failing: number) {
-  const chain = new Chain(policy, failing);
-  const calls = policy.budget === 'none' && failing === 1 ? PLAIN_FAILING_CALLS : CALLS;
+function measure(policy: RetryPolicy, failureRate: number) {
+  const chain = new CallChain(policy, failureRate);
+  const calls = policy.budget === 'none' && failureRate === 1 ? PLAIN_FAILING_CALLS : CALLS;
   let answered = 0;
   for (let call = 0; call < calls; call++) answered += Number(chain.call());
   return {
     policy: policy.name,
-    failingShare: failing,
+    failingShare: failureRate,
     calls,
     answeredShare: round(answered / calls),
     attemptsPerCallByDepth: chain.attempts.map((count) => round(count / calls)),
@@ -148,7 +149,7 @@
 const runs = [1, 0.5, 0.05].flatMap((failing) =>
   POLICIES.map((policy) => measure(policy, failing)),
 );
-await keep('depth', {
+await saveResult('depth', {
   depth: DEPTH,
   callsPerSecond: 65,
   retryPercent: RETRY_PERCENT,
--- a/src/bench/drawing.ts
+++ b/src/bench/drawing.ts
@@ -1,9 +1,9 @@
-/** Draws kept results next to earlier ones: one SVG per experiment. */
+/** Renders saved results as bar charts: one SVG per experiment, one group of bars per result. */
 import { readdir, readFile, writeFile } from 'node:fs/promises';
 import * as echarts from 'echarts';
 
-/** Figures worth drawing, by experiment; ours beside the baseline's where there is one. */
-const DRAWN: Readonly<Record<string, readonly string[]>> = {
+/** Result keys to chart, by experiment; with those of the baseline where there is one. */
+const CHARTED_FIGURES: Readonly<Record<string, readonly string[]>> = {
   convergence: ['p50Ms', 'p99Ms', 'baselineP50Ms', 'baselineP99Ms'],
   'control-bytes': ['idleBytesPerSecondPerProcess', 'bytesPerChange', 'baselineBytesPerChange'],
   herd: [
@@ -27,37 +27,43 @@
 const WIDTH = 900;
 const HEIGHT = 420;
 
-interface Kept {
+interface SavedResult {
   readonly name: string;
   readonly experiment: string;
   readonly figures: Readonly<Record<string, unknown>>;
 }
 
-/** Writes the drawings beside the results; resolves to their file names. */
-export async function drawReport(folder: URL): Promise<string[]> {
-  const kept = await readKept(folder);
+/** Writes the charts into the folder of the results; resolves to their file names. */
+export async function drawCharts(folder: URL): Promise<string[]> {
+  const savedResults = await readSavedResults(folder);
   const drawings: string[] = [];
-  for (const [experiment, keys] of Object.entries(DRAWN)) {
-    const results = kept.filter((one) => one.experiment === experiment);
+  for (const [experiment, keys] of Object.entries(CHARTED_FIGURES)) {
+    const results = savedResults.filter((one) => one.experiment === experiment);
     if (results.length === 0) continue;
     const file = `report-${experiment}.svg`;
-    await writeFile(new URL(file, folder), draw(experiment, keys, results));
+    await writeFile(new URL(file, folder), renderChart(experiment, keys, results));
     drawings.push(file);
   }
   return drawings;
 }
 
-async function readKept(folder: URL): Promise<Kept[]> {
+async function readSavedResults(folder: URL): Promise<SavedResult[]> {
   const files = (await readdir(folder)).filter((file) => file.endsWith('.json')).sort();
   return Promise.all(
     files.map(async (file) => {
-      const figures = JSON.parse(await readFile(new URL(file, folder), 'utf8')) as Kept['figures'];
+      const figures = JSON.parse(
+        await readFile(new URL(file, folder), 'utf8'),
+      ) as SavedResult['figures'];
       return { name: file.replace('.json', ''), experiment: String(figures.experiment), figures };
     }),
   );
 }
 
-function draw(experiment: string, keys: readonly string[], results: readonly Kept[]): string {
+function renderChart(
+  experiment: string,
+  keys: readonly string[],
+  results: readonly SavedResult[],
+): string {
   const size = { width: WIDTH, height: HEIGHT };
   const chart = echarts.init(null, null, { renderer: 'svg', ssr: true, ...size });
   chart.setOption({
@@ -66,7 +72,7 @@
     legend: { top: 30 },
     grid: { top: 80, left: 80, right: 30, bottom: 60 },
     xAxis: { type: 'category', data: results.map(({ name }) => name) },
-    // Figures of one experiment can lie orders of magnitude apart.
+    // Values of one experiment can differ by orders of magnitude.
     yAxis: { type: 'log', min: 0.1 },
     series: keys.map((key) => ({
       name: key,
--- a/src/bench/experiment.ts
+++ b/src/bench/experiment.ts
@@ -1,21 +1,21 @@
-/** What all experiments have in common. */
+/** Base class and helpers of the experiments. */
 import { build, type Histogram } from 'hdr-histogram-js';
 import { type Clock } from '../runtime/clock.js';
 
 export interface Options {
   readonly processes: number;
   readonly seed: number;
-  /** Prints how far the experiment is. */
+  /** Reports the step of the experiment that starts. */
   readonly progress: (text: string) => void;
 }
 
-/** Figures by name; times are in milliseconds. */
+/** Measured values by name. */
 export type Result = Readonly<Record<string, unknown>>;
 
 export abstract class Experiment {
   abstract readonly name: string;
 
-  /** Processes unless the command line says otherwise. */
+  /** Number of processes when `--processes` is not given. */
   readonly defaultProcesses: number = 50;
 
   constructor(protected readonly clock: Clock) {}
@@ -23,27 +23,27 @@
   abstract run(options: Options): Promise<Result>;
 }
 
-/** Steps of a histogram per millisecond. */
-const STEPS_PER_MS = 1_000;
-const HIGHEST_MS = 120_000;
+/** The histogram records whole microseconds. */
+const UNITS_PER_MS = 1_000;
+const MAX_TRACKABLE_MS = 120_000;
 
-/** Times in milliseconds, kept to a microsecond. */
-export class Times {
+/** Histogram of times in milliseconds, with a resolution of one microsecond. */
+export class LatencyHistogram {
   readonly #histogram: Histogram = build({
-    highestTrackableValue: HIGHEST_MS * STEPS_PER_MS,
+    highestTrackableValue: MAX_TRACKABLE_MS * UNITS_PER_MS,
     numberOfSignificantValueDigits: 3,
   });
 
   add(ms: number): void {
-    this.#histogram.recordValue(Math.max(0, Math.round(ms * STEPS_PER_MS)));
+    this.#histogram.recordValue(Math.max(0, Math.round(ms * UNITS_PER_MS)));
   }
 
   get count(): number {
     return this.#histogram.totalCount;
   }
 
-  at(percentile: number): number {
-    return this.#histogram.getValueAtPercentile(percentile) / STEPS_PER_MS;
+  percentile(percentile: number): number {
+    return this.#histogram.getValueAtPercentile(percentile) / UNITS_PER_MS;
   }
 }
 
--- a/src/bench/experiments/cold.ts
+++ b/src/bench/experiments/cold.ts
@@ -7,10 +7,10 @@
 const ROUTES = 1_126;
 const DELAY_MS = 20;
 const ANSWER_BYTES = 5_000;
-/** What a process sees in a large fleet: so few that nothing gets warm. */
+/** Load of one process in a large fleet: too low for the JIT compiler to optimise much. */
 const CALLS_PER_SECOND = 15;
-/** Requests of each process, counted from its first, after which its processor time is looked at. */
-const STEPS = [30, 300, 1_000] as const;
+/** Numbers of requests per process, from its first, after which its CPU time is read. */
+const REQUEST_COUNTS = [30, 300, 1_000] as const;
 const SETTLE_MS = 10_000;
 const IDLE_MS = 10_000;
 const VERSIONS = 5;
@@ -19,8 +19,8 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Processor time of one process of the platform's build, in milliseconds, from its start on: what
- * a start, an idle second, a version and the first requests cost while the code is still cold.
+ * CPU time of a process of the platform's build, in milliseconds, for its start, an idle second, a
+ * new version and the first requests, while the code is still cold.
  */
 export class Cold extends Experiment {
   readonly name = 'cold';
@@ -28,7 +28,7 @@
   override readonly defaultProcesses = 12;
 
   async run({ processes, progress }: Options): Promise<Result> {
-    const bareNodeMs = await this.#bareNode();
+    const bareNodeMs = await this.#measureBareNode();
     await using fleet = await MeshFleet.start(this.clock, {
       processes,
       dataCentres: DATA_CENTRES,
@@ -37,19 +37,19 @@
       delayMs: DELAY_MS,
       bytes: ANSWER_BYTES,
     });
-    const each = async () => (await fleet.cpuMs()) / processes;
+    const cpuMsPerProcess = async () => (await fleet.cpuMs()) / processes;
     progress('start');
-    await fleet.ready();
-    const readyMs = await each();
-    await this.#pass(SETTLE_MS);
-    const settledMs = await each();
+    await fleet.waitUntilReady();
+    const readyMs = await cpuMsPerProcess();
+    await this.#sleep(SETTLE_MS);
+    const settledMs = await cpuMsPerProcess();
     progress('idle');
-    await this.#pass(IDLE_MS);
-    const idleMsPerSecond = ((await each()) - settledMs) / (IDLE_MS / MS_PER_SECOND);
+    await this.#sleep(IDLE_MS);
+    const idleMsPerSecond = ((await cpuMsPerProcess()) - settledMs) / (IDLE_MS / MS_PER_SECOND);
     progress('versions');
-    const versionMs = await this.#versions(fleet, each, idleMsPerSecond);
+    const versionMs = await this.#measureVersions(fleet, cpuMsPerProcess, idleMsPerSecond);
     progress('requests');
-    const requests = await this.#requests(fleet, each, idleMsPerSecond);
+    const requests = await this.#measureRequests(fleet, cpuMsPerProcess, idleMsPerSecond);
     return {
       processes,
       bareNodeMs: rounded(bareNodeMs),
@@ -61,48 +61,61 @@
     };
   }
 
-  async #bareNode(): Promise<number> {
+  async #measureBareNode(): Promise<number> {
     await using bare = Program.launch(['-e', 'setInterval(() => {}, 1e6)'], '.', {});
-    await this.#pass(BARE_MS);
+    await this.#sleep(BARE_MS);
     return (await bare.usage()).cpuMs;
   }
 
-  async #versions(fleet: MeshFleet, each: () => Promise<number>, idle: number): Promise<number> {
-    const before = await each();
+  async #measureVersions(
+    fleet: MeshFleet,
+    cpuMsPerProcess: () => Promise<number>,
+    idleMsPerSecond: number,
+  ): Promise<number> {
+    const before = await cpuMsPerProcess();
     for (let version = 1; version <= VERSIONS; version++) {
-      await fleet.accept();
-      await this.#pass(VERSION_MS);
+      await fleet.publishVersion();
+      await this.#sleep(VERSION_MS);
     }
-    return ((await each()) - before) / VERSIONS - (idle * VERSION_MS) / MS_PER_SECOND;
+    return (
+      ((await cpuMsPerProcess()) - before) / VERSIONS -
+      (idleMsPerSecond * VERSION_MS) / MS_PER_SECOND
+    );
   }
 
-  /** Each process is an entry for as many requests as it guards, on average. */
-  async #requests(fleet: MeshFleet, each: () => Promise<number>, idle: number): Promise<Result> {
+  /** On average, each process is entry for as many requests as it is guard for. */
+  async #measureRequests(
+    fleet: MeshFleet,
+    cpuMsPerProcess: () => Promise<number>,
+    idleMsPerSecond: number,
+  ): Promise<Result> {
     const startedAt = this.clock.now();
-    const before = await each();
+    const before = await cpuMsPerProcess();
     const figures: Record<string, number> = {};
     let asked = 0;
     let served = 0;
     const pending = new Set<Promise<void>>();
-    const ask = async (index: number) => {
+    const sendOne = async (index: number) => {
       if (await fleet.call(index, asked % ROUTES)) served += 1;
     };
-    for (const step of STEPS) {
-      for (; asked < step * fleet.machines.length; asked++) {
+    for (const requestCount of REQUEST_COUNTS) {
+      for (; asked < requestCount * fleet.machines.length; asked++) {
         const dueAt =
           startedAt + (asked * MS_PER_SECOND) / (CALLS_PER_SECOND * fleet.machines.length);
         await this.clock.sleepUntil(dueAt);
-        const call = ask(asked % fleet.machines.length).finally(() => pending.delete(call));
+        const call = sendOne(asked % fleet.machines.length).finally(() => pending.delete(call));
         pending.add(call);
       }
-      const idleMs = (idle * (this.clock.now() - startedAt)) / MS_PER_SECOND;
-      figures[`first${step}MsEach`] = rounded(((await each()) - before - idleMs) / step);
+      const idleMs = (idleMsPerSecond * (this.clock.now() - startedAt)) / MS_PER_SECOND;
+      figures[`first${requestCount}MsEach`] = rounded(
+        ((await cpuMsPerProcess()) - before - idleMs) / requestCount,
+      );
     }
     await Promise.all(pending);
     return { ...figures, asked, served };
   }
 
-  #pass(ms: number): Promise<void> {
+  #sleep(ms: number): Promise<void> {
     return this.clock.sleepUntil(this.clock.now() + ms);
   }
 }
--- a/src/bench/experiments/herd.ts
+++ b/src/bench/experiments/herd.ts
@@ -1,8 +1,13 @@
-import { Baseline, type Deployment, Ours, type Proxy } from '../deployment.js';
+import {
+  BaselineDeployment,
+  type Deployment,
+  DaemonDeployment,
+  type Proxy,
+} from '../deployment.js';
 import { Experiment, type Options, type Result } from '../experiment.js';
 import { getJson, platformCalls } from '../http.js';
-import { changingNote } from '../notes.js';
-import { SERVICES, sideBySide } from '../side_by_side.js';
+import { changeNote } from '../notes.js';
+import { SERVICES, compareWithBaseline } from '../side_by_side.js';
 
 const DEADLINE_MS = 30_000;
 const SETTLE_MS = 3_000;
@@ -10,60 +15,67 @@
 const WINDOW_SAMPLES = 10;
 const RESTARTED_AT_ONCE = 16;
 
-/** Half of all processes die at once and come back while the configuration changes. */
+/** Kills half of all processes at once and restarts them while the configuration changes. */
 export class Herd extends Experiment {
   readonly name = 'herd';
 
   async run(options: Options): Promise<Result> {
     const { processes, progress } = options;
     const killed = Math.ceil(processes / 2);
-    const { own, theirs } = await sideBySide(this.clock, options, 'convergence', (deployment) =>
-      this.#provoke(deployment, killed, progress),
+    const { daemons, baseline } = await compareWithBaseline(
+      this.clock,
+      options,
+      'convergence',
+      (deployment) => this.#killAndRestart(deployment, killed, progress),
     );
     return {
       processes,
       killed,
-      recoveredMs: Math.round(own.recoveredMs),
-      baselineRecoveredMs: Math.round(theirs.recoveredMs),
-      peakSourceCallsPerSecond: own.peak,
-      baselinePeakSourceCallsPerSecond: theirs.peak,
-      rollbacks: own.rollbacks,
+      recoveredMs: Math.round(daemons.recoveredMs),
+      baselineRecoveredMs: Math.round(baseline.recoveredMs),
+      peakSourceCallsPerSecond: daemons.peak,
+      baselinePeakSourceCallsPerSecond: baseline.peak,
+      rollbacks: daemons.rollbacks,
     };
   }
 
-  async #provoke(
-    deployment: Ours | Baseline,
+  async #killAndRestart(
+    deployment: DaemonDeployment | BaselineDeployment,
     killed: number,
     progress: (text: string) => void,
   ): Promise<{ recoveredMs: number; peak: number; rollbacks: number }> {
     await this.clock.sleepUntil(this.clock.now() + SETTLE_MS);
-    const victims = deployment.proxies.slice(0, killed);
-    const watch = new CallRate(deployment, this.clock);
+    const killedProxies = deployment.proxies.slice(0, killed);
+    const watch = new PlatformCallRate(deployment, this.clock);
     progress(`killing ${killed}`);
-    await Promise.all(victims.map(({ program }) => program.kill()));
-    await restartAll(deployment, victims);
+    await Promise.all(killedProxies.map(({ program }) => program.kill()));
+    await restartAll(deployment, killedProxies);
     const startedAt = this.clock.now();
     const survivor = deployment.proxies.at(-1) as Proxy;
-    const number = await this.#acceptThrough(deployment, survivor);
+    const number = await this.#submitThrough(deployment, survivor);
     const deadline = this.clock.now() + DEADLINE_MS;
     progress('recovering');
-    await deployment.heldEverywhere(number);
-    if (deployment instanceof Ours) await this.#allReady(deployment, deadline);
+    await deployment.waitUntilHeldEverywhere(number);
+    if (deployment instanceof DaemonDeployment) await this.#waitUntilAllReady(deployment, deadline);
     const recoveredMs = this.clock.now() - startedAt;
     await this.clock.sleepUntil(this.clock.now() + SETTLE_MS);
     const { rollbacks } = deployment;
     return { recoveredMs, peak: await watch.stop(), rollbacks };
   }
 
-  async #acceptThrough(deployment: Ours | Baseline, survivor: Proxy): Promise<number> {
-    if (deployment instanceof Baseline) return deployment.accept();
-    return deployment.accept(changingNote(1, SERVICES), survivor);
+  async #submitThrough(
+    deployment: DaemonDeployment | BaselineDeployment,
+    survivor: Proxy,
+  ): Promise<number> {
+    if (deployment instanceof BaselineDeployment) return deployment.submit();
+    return deployment.submit(changeNote(1, SERVICES), survivor);
   }
 
-  async #allReady(deployment: Ours, deadline: number): Promise<void> {
+  async #waitUntilAllReady(deployment: DaemonDeployment, deadline: number): Promise<void> {
     for (const { program } of deployment.proxies) {
       while (!(await isReady(program.ports.operatorsPort!))) {
-        if (this.clock.now() > deadline) throw new Error('not everybody became ready');
+        if (this.clock.now() > deadline)
+          throw new Error(`not all daemons were ready within ${DEADLINE_MS} ms`);
         await this.clock.sleepUntil(this.clock.now() + SAMPLE_MS);
       }
     }
@@ -74,15 +86,18 @@
   return (await getJson<{ ready: boolean }>(port, '/ready')).ready;
 }
 
-async function restartAll(deployment: Ours | Baseline, victims: readonly Proxy[]): Promise<void> {
-  for (let from = 0; from < victims.length; from += RESTARTED_AT_ONCE) {
-    const some = victims.slice(from, from + RESTARTED_AT_ONCE);
+async function restartAll(
+  deployment: DaemonDeployment | BaselineDeployment,
+  proxies: readonly Proxy[],
+): Promise<void> {
+  for (let from = 0; from < proxies.length; from += RESTARTED_AT_ONCE) {
+    const some = proxies.slice(from, from + RESTARTED_AT_ONCE);
     await Promise.all(some.map((proxy) => deployment.restart(proxy)));
   }
 }
 
-/** Highest number of platform calls within any second, sampled from the stand-in's own counter. */
-class CallRate {
+/** Peak number of platform calls in any one second, sampled from the stand-in's counter. */
+class PlatformCallRate {
   readonly #samples: number[] = [];
 
   readonly #stopping = new AbortController();
--- a/src/bench/experiments/slopes.ts
+++ b/src/bench/experiments/slopes.ts
@@ -1,22 +1,22 @@
-import { type DeploymentOptions, Ours } from '../deployment.js';
-import { Experiment, type Options, type Result, rounded, Times } from '../experiment.js';
+import { type DeploymentOptions, DaemonDeployment } from '../deployment.js';
+import { Experiment, type Options, type Result, rounded, LatencyHistogram } from '../experiment.js';
 import { platformCalls } from '../http.js';
-import { idleOf } from '../idle.js';
-import { changingNote } from '../notes.js';
+import { measureIdle } from '../idle.js';
+import { changeNote } from '../notes.js';
 
 const SETTLE_MS = 2_000;
 const IDLE_MS = 3_000;
 const VERSIONS = 6;
 const MS_PER_SECOND = 1_000;
 
-/** One deployment with one quantity varied. */
+/** The size of one deployment. */
 interface Point {
   readonly processes: number;
   readonly dataCentres: number;
   readonly services: number;
 }
 
-/** The same quantities at several sizes, for `docs/CAPACITY.md`. */
+/** Measures costs at several deployment sizes, one quantity varied at a time. */
 export class Slopes extends Experiment {
   readonly name = 'slopes';
 
@@ -34,13 +34,13 @@
 
   async #measure(point: Point): Promise<Result> {
     const options: DeploymentOptions = { ...point, profile: 'convergence' };
-    await using ours = new Ours(options, this.clock);
-    await ours.open();
+    await using deployment = new DaemonDeployment(options, this.clock);
+    await deployment.open();
     await this.clock.sleepUntil(this.clock.now() + SETTLE_MS);
-    const callsBefore = await this.#calls(ours);
-    const idle = await idleOf(ours, IDLE_MS);
-    const idleCalls = (await this.#calls(ours)) - callsBefore;
-    const changes = await this.#changes(ours, point.services, idle.bytesPerSecond);
+    const callsBefore = await this.#countPlatformCalls(deployment);
+    const idle = await measureIdle(deployment, IDLE_MS);
+    const idleCalls = (await this.#countPlatformCalls(deployment)) - callsBefore;
+    const changes = await this.#measureChanges(deployment, point.services, idle.bytesPerSecond);
     return {
       idleBytesPerSecondPerProcess: Math.round(idle.bytesPerSecond),
       cpuPercentPerProcess: rounded(idle.cpuPercent),
@@ -50,38 +50,45 @@
     };
   }
 
-  async #changes(ours: Ours, services: number, idleBytesPerSecond: number) {
-    const before = await total(ours);
-    const callsBefore = await this.#calls(ours);
-    const times = new Times();
+  async #measureChanges(
+    deployment: DaemonDeployment,
+    services: number,
+    idleBytesPerSecond: number,
+  ) {
+    const before = await totalUsage(deployment);
+    const callsBefore = await this.#countPlatformCalls(deployment);
+    const times = new LatencyHistogram();
     const startedAt = this.clock.now();
     for (let turn = 1; turn <= VERSIONS; turn++) {
-      const handedInAt = this.clock.now();
-      await ours.putInForce(changingNote(turn, services));
-      times.add(this.clock.now() - handedInAt);
+      const submittedAt = this.clock.now();
+      await deployment.submitAndWait(changeNote(turn, services));
+      times.add(this.clock.now() - submittedAt);
     }
     const seconds = (this.clock.now() - startedAt) / MS_PER_SECOND;
-    const after = await total(ours);
-    const bytes = after.bytes - before.bytes - idleBytesPerSecond * ours.proxies.length * seconds;
+    const after = await totalUsage(deployment);
+    const bytes =
+      after.bytes - before.bytes - idleBytesPerSecond * deployment.proxies.length * seconds;
     return {
-      bytesPerChangePerProcess: Math.round(bytes / VERSIONS / ours.proxies.length),
+      bytesPerChangePerProcess: Math.round(bytes / VERSIONS / deployment.proxies.length),
       cpuMsPerChangePerProcess: rounded(
-        (after.cpuMs - before.cpuMs) / VERSIONS / ours.proxies.length,
+        (after.cpuMs - before.cpuMs) / VERSIONS / deployment.proxies.length,
       ),
-      platformCallsPerChange: rounded(((await this.#calls(ours)) - callsBefore) / VERSIONS),
-      convergenceP50Ms: rounded(times.at(50)),
+      platformCallsPerChange: rounded(
+        ((await this.#countPlatformCalls(deployment)) - callsBefore) / VERSIONS,
+      ),
+      convergenceP50Ms: rounded(times.percentile(50)),
     };
   }
 
-  #calls(ours: Ours): Promise<number> {
-    return platformCalls(ours.platform.ports.port!);
+  #countPlatformCalls(deployment: DaemonDeployment): Promise<number> {
+    return platformCalls(deployment.platform.ports.port!);
   }
 }
 
-async function total(ours: Ours): Promise<{ bytes: number; cpuMs: number }> {
+async function totalUsage(deployment: DaemonDeployment): Promise<{ bytes: number; cpuMs: number }> {
   let bytes = 0;
   let cpuMs = 0;
-  for (const usage of await ours.usage()) {
+  for (const usage of await deployment.usage()) {
     bytes += usage.readBytes + usage.writtenBytes;
     cpuMs += usage.cpuMs;
   }
--- a/src/bench/fleet.ts
+++ b/src/bench/fleet.ts
@@ -1,4 +1,4 @@
-/** A fleet of real processes' parts inside this one, on loopback, over the stand-ins. */
+/** A fleet of instances that run within this process, on loopback, with stand-ins around them. */
 import { Instance } from '../daemon/instance.js';
 import { readSettings } from '../daemon/settings.js';
 import { MsgpackCodec } from '../link/codec.js';
@@ -11,12 +11,12 @@
 
 export interface FleetOptions {
   readonly dataCentres: readonly string[];
-  /** One process beside one endpoint of each, in every data centre. */
+  /** One node with an endpoint is started for each, in every data centre. */
   readonly upstreams: readonly string[];
   readonly delayMs?: number;
 }
 
-/** One process with the upstream instance beside it. */
+/** An instance of the daemon with the upstream instance that it serves. */
 export interface Station {
   readonly instance: Instance;
   readonly upstream: UpstreamServer;
@@ -30,22 +30,22 @@
   private constructor(
     readonly platform: PlatformServer,
     private readonly clock: Clock,
-    private readonly owned: Ownership,
+    private readonly resources: Ownership,
   ) {}
 
   static async start(clock: Clock, options: FleetOptions): Promise<Fleet> {
-    const owned = new Ownership();
-    const platform = owned.use(await PlatformServer.start(clock));
-    const fleet = new Fleet(platform, clock, owned);
+    const resources = new Ownership();
+    const platform = resources.use(await PlatformServer.start(clock));
+    const fleet = new Fleet(platform, clock, resources);
     for (const dataCentre of options.dataCentres) {
       for (const [index, upstream] of options.upstreams.entries()) {
-        await fleet.#add(dataCentre, `${dataCentre}-${upstream}-${index}`, upstream, options);
+        await fleet.#startNode(dataCentre, `${dataCentre}-${upstream}-${index}`, upstream, options);
       }
     }
     return fleet;
   }
 
-  /** Waits until `condition` holds; false if it does not by the deadline. */
+  /** Resolves to true once `condition` holds, or to false at the deadline. */
   async until(condition: () => boolean, deadline: number): Promise<boolean> {
     while (!condition()) {
       if (this.clock.now() >= deadline) return false;
@@ -55,10 +55,10 @@
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await this.owned[Symbol.asyncDispose]();
+    await this.resources[Symbol.asyncDispose]();
   }
 
-  async #add(
+  async #startNode(
     dataCentre: string,
     name: string,
     upstreamName: string,
@@ -80,11 +80,11 @@
       },
       {},
     );
-    const platform = this.owned.use(new HttpPlatform(this.platform.url, clock));
+    const platform = this.resources.use(new HttpPlatform(this.platform.url, clock));
     const codec = new MsgpackCodec();
-    const surroundings = { platform, clock, random: new MachineRandom(), codec };
-    const instance = this.owned.use(await Instance.start(settings, surroundings));
-    const upstream = this.owned.use(
+    const dependencies = { platform, clock, random: new MachineRandom(), codec };
+    const instance = this.resources.use(await Instance.start(settings, dependencies));
+    const upstream = this.resources.use(
       await UpstreamServer.start(clock, { upstream: upstreamName, delayMs }),
     );
     void upstream.announceTo(instance.operatorsPort);
--- a/src/bench/http.ts
+++ b/src/bench/http.ts
@@ -1,4 +1,4 @@
-/** Small JSON calls of the bench to operators' ports and the platform stand-in. */
+/** JSON requests to operators' ports and to the platform stand-in. */
 import { Agent } from 'node:http';
 import { type Calls } from '../standins/platform_store.js';
 import { ask } from './caller.js';
@@ -10,7 +10,7 @@
   return JSON.parse(body) as T;
 }
 
-/** All calls that the platform stand-in has counted. */
+/** Resolves to the number of calls that the platform stand-in has counted so far. */
 export async function platformCalls(port: number): Promise<number> {
   const { reads, writes, watches } = await getJson<Calls>(port, '/calls');
   return reads + writes + watches;
--- a/src/bench/idle.ts
+++ b/src/bench/idle.ts
@@ -1,11 +1,11 @@
-/** What processes cost while nothing changes. */
+/** Resource usage of processes while nothing changes. */
 import { type Deployment } from './deployment.js';
 import { type Usage } from './processes.js';
 
-export interface Idle {
-  /** Sent and received bytes per process. */
+export interface IdleUsage {
+  /** Bytes sent and received per process. */
   readonly bytesPerSecond: number;
-  /** Of one core, per process. */
+  /** Share of one core used per process. */
   readonly cpuPercent: number;
   readonly rssMb: number;
 }
@@ -13,19 +13,19 @@
 const MS_PER_SECOND = 1_000;
 const BYTES_PER_MB = 1024 * 1024;
 
-/** Measures for `forMs` milliseconds, from what the kernel counts. */
-export async function idleOf(deployment: Deployment, forMs: number): Promise<Idle> {
+/** Measures for `durationMs` milliseconds, using the kernel's counters. */
+export async function measureIdle(deployment: Deployment, durationMs: number): Promise<IdleUsage> {
   const { clock } = deployment;
   const before = await deployment.usage();
   const startedAt = clock.now();
-  await clock.sleepUntil(startedAt + forMs);
+  await clock.sleepUntil(startedAt + durationMs);
   const after = await deployment.usage();
   const seconds = (clock.now() - startedAt) / MS_PER_SECOND;
-  const grown = (value: (usage: Usage) => number) =>
+  const ratePerProcess = (value: (usage: Usage) => number) =>
     (total(after, value) - total(before, value)) / seconds / after.length;
-  const cpuMsPerSecond = grown(({ cpuMs }) => cpuMs);
+  const cpuMsPerSecond = ratePerProcess(({ cpuMs }) => cpuMs);
   return {
-    bytesPerSecond: grown(({ readBytes, writtenBytes }) => readBytes + writtenBytes),
+    bytesPerSecond: ratePerProcess(({ readBytes, writtenBytes }) => readBytes + writtenBytes),
     cpuPercent: (cpuMsPerSecond / MS_PER_SECOND) * 100,
     rssMb: total(after, ({ rssBytes }) => rssBytes) / after.length / BYTES_PER_MB,
   };
--- a/src/bench/main.ts
+++ b/src/bench/main.ts
@@ -1,23 +1,23 @@
-/** The load and experiment tool: `npm run bench -- EXPERIMENT [--json] [--processes N] [--seed S]`. */
+/** Benchmark command: `npm run bench -- EXPERIMENT [--json] [--processes N] [--seed S]`. */
 import { cac } from 'cac';
 import { MachineClock } from '../runtime/clock.js';
 import { type Experiment } from './experiment.js';
-import { drawReport } from './drawing.js';
-import { keep, RESULTS } from './results.js';
+import { drawCharts } from './drawing.js';
+import { saveResult, RESULTS_FOLDER } from './results.js';
 import { AddedLatency } from './experiments/added_latency.js';
 import { Cold } from './experiments/cold.js';
 import { ControlBytes } from './experiments/control_bytes.js';
 import { Convergence } from './experiments/convergence.js';
 import { Herd } from './experiments/herd.js';
 import { Overload } from './experiments/overload.js';
-import { RolloutTrials } from './experiments/rollout.js';
+import { RolloutSimulations } from './experiments/rollout.js';
 import { Slopes } from './experiments/slopes.js';
 import { replayCommand } from './replay/command.js';
-import { StolenTime } from './stolen_time.js';
+import { StealTime } from './stolen_time.js';
 
 const clock = new MachineClock();
 const DEFAULT_SEED = 1;
-/** More would take more than half of the machine's memory. */
+/** More processes would use over half of the machine's memory. */
 const MAX_PROCESSES = 200;
 const EXIT_USAGE = 2;
 
@@ -29,7 +29,7 @@
   new Overload(clock),
   new Slopes(clock),
   new Cold(clock),
-  new RolloutTrials(clock),
+  new RolloutSimulations(clock),
 ];
 
 interface Flags {
@@ -40,48 +40,51 @@
 }
 
 async function run(name: string, flags: Flags): Promise<number> {
-  if (name === 'report') return draw();
+  if (name === 'report') return drawReport();
   const experiment = experiments.find((one) => one.name === name);
   if (!experiment) {
     console.error(
-      `no experiment ${name}; there are ${experiments.map((one) => one.name).join(', ')}`,
+      `unknown experiment ${name}; expected one of ${experiments.map((one) => one.name).join(', ')}`,
     );
     return EXIT_USAGE;
   }
   const processes = flags.processes ?? experiment.defaultProcesses;
   if (!Number.isInteger(processes) || processes < 2 || processes > MAX_PROCESSES) {
     console.error(
-      `--processes: ${processes} is not allowed: a whole number from 2 to ${MAX_PROCESSES}`,
+      `--processes: got ${processes}, expected a whole number from 2 to ${MAX_PROCESSES}`,
     );
     return EXIT_USAGE;
   }
   const startedAt = clock.now();
-  const steal = await StolenTime.begin();
+  const stealTime = await StealTime.begin();
   const progress = (text: string) => {
     if (flags.json) return;
     console.error(`${((clock.now() - startedAt) / 1000).toFixed(1).padStart(6)} s  ${text}`);
   };
   const result = await experiment.run({ processes, seed: flags.seed ?? DEFAULT_SEED, progress });
-  const stealPercent = await steal.percent();
+  const stealPercent = await stealTime.percent();
   const figures = { experiment: name, ...result, stealPercent };
-  if (flags.keep) await keep(flags.keep, figures);
+  if (flags.keep) await saveResult(flags.keep, figures);
   console.log(JSON.stringify(figures));
   return 0;
 }
 
-async function draw(): Promise<number> {
-  const drawings = await drawReport(RESULTS);
+async function drawReport(): Promise<number> {
+  const drawings = await drawCharts(RESULTS_FOLDER);
   console.log(drawings.join('\n'));
   return 0;
 }
 
 const tool = cac('bench');
-tool.option('--json', 'print nothing but the result');
-tool.option('--processes <n>', 'how many processes');
-tool.option('--seed <s>', 'seed of whatever is random in the bench');
-tool.option('--keep <name>', 'keep the result under bench/results/<name>.json');
+tool.option('--json', 'print only the result');
+tool.option('--processes <n>', 'number of processes');
+tool.option('--seed <s>', 'seed of the random numbers that the benchmark draws');
+tool.option('--keep <name>', 'save the result to bench/results/<name>.json');
 tool
-  .command('replay [...patterns]', 'compare rules on load patterns, such as bench/patterns/*.json')
+  .command(
+    'replay [...patterns]',
+    'compare policies on load patterns, such as bench/patterns/*.json',
+  )
   .action((patterns: readonly string[], flags: Flags) =>
     replayCommand(patterns.map(String), flags.json ?? false),
   );
--- a/src/bench/mesh_fleet.ts
+++ b/src/bench/mesh_fleet.ts
@@ -1,4 +1,7 @@
-/** Processes of the operators' platform on loopback, as its build makes them, with all around them. */
+/**
+ * Processes built for the operators' platform, running on loopback with stand-ins for the store and
+ * for the upstreams.
+ */
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { mkdtemp, readFile, rm } from 'node:fs/promises';
@@ -28,8 +31,8 @@
   readonly routes: number;
 }
 
-const STORE_CALL_MS = 5_000;
-const READY_MS = 90_000;
+const STORE_CALL_TIMEOUT_MS = 5_000;
+const READY_TIMEOUT_MS = 90_000;
 const POLL_MS = 100;
 const OK = 200;
 const ROOT = fileURLToPath(new URL('../../', import.meta.url));
@@ -39,7 +42,7 @@
 
   readonly programs: Program[] = [];
 
-  readonly #owned = new Ownership();
+  readonly #resources = new Ownership();
 
   #store!: PlatformServer;
 
@@ -47,7 +50,7 @@
 
   #number = 0;
 
-  #asked = 0;
+  #requestCount = 0;
 
   private constructor(
     private readonly clock: Clock,
@@ -59,72 +62,73 @@
     );
   }
 
-  /** Puts a configuration in force, then starts all processes at once. */
+  /** Publishes a configuration, then starts all processes at once. */
   static async start(clock: Clock, options: MeshFleetOptions): Promise<MeshFleet> {
     const fleet = new MeshFleet(clock, options);
     await fleet.#open();
     return fleet;
   }
 
-  /** Processor time of all processes so far, in milliseconds. */
+  /** Total CPU time of all processes so far, in milliseconds. */
   async cpuMs(): Promise<number> {
     const usages = await Promise.all(this.programs.map((program) => program.usage()));
     return usages.reduce((sum, { cpuMs }) => sum + cpuMs, 0);
   }
 
-  /** Resolves once every process would take callers. */
-  async ready(): Promise<void> {
-    const deadline = this.clock.now() + READY_MS;
+  /** Resolves once every process reports that it is ready for callers. */
+  async waitUntilReady(): Promise<void> {
+    const deadline = this.clock.now() + READY_TIMEOUT_MS;
     for (const { name, host } of this.machines) {
       while (!(await isReady(host))) {
-        if (this.clock.now() > deadline) throw new Error(`${name} did not become ready`);
+        if (this.clock.now() > deadline)
+          throw new Error(`${name} was not ready within ${READY_TIMEOUT_MS} ms`);
         await this.clock.sleepUntil(this.clock.now() + POLL_MS);
       }
     }
   }
 
-  /** Puts the next version in force: the same routes, and one more. */
-  async accept(): Promise<void> {
+  /** Publishes the next version: the same routes and one more. */
+  async publishVersion(): Promise<void> {
     const { routes, services } = this.options;
     this.#number += 1;
     const value = operatorsObject(this.#number, routes + this.#number, services);
-    await putInForce(this.#store.store, value, this.clock.now() + STORE_CALL_MS);
+    await putInForce(this.#store.store, value, this.clock.now() + STORE_CALL_TIMEOUT_MS);
   }
 
-  /** One request of a caller beside machine number `index`; resolves to whether it was served. */
+  /** Sends one request to the entry of machine `index`; resolves to whether it got status 200. */
   async call(index: number, route: number): Promise<boolean> {
     const { services } = this.options;
-    this.#asked += 1;
+    this.#requestCount += 1;
     const { status } = await ask({
       host: this.machines[index]!.host,
       port: PORTS.outbound,
-      path: `/${services[route % services.length]}/${route}/${this.#asked}`,
-      headers: callHeaders(`call-${this.#asked}`),
+      path: `/${services[route % services.length]}/${route}/${this.#requestCount}`,
+      headers: callHeaders(`call-${this.#requestCount}`),
     });
     return status === OK;
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    // Asked to stop, so that a profile that the bench's flags ask for is written.
+    // A graceful stop lets Node write a profile that flags such as `--cpu-prof` ask for.
     await Promise.all(this.programs.map((program) => program.stop()));
-    await this.#owned[Symbol.asyncDispose]();
+    await this.#resources[Symbol.asyncDispose]();
   }
 
   async #open(): Promise<void> {
     await buildForPlatform();
-    const words = await runWords();
-    this.#store = this.#owned.use(await PlatformServer.start(this.clock));
-    await this.accept();
+    const nodeArguments = await readNodeArguments();
+    this.#store = this.#resources.use(await PlatformServer.start(this.clock));
+    await this.publishVersion();
     this.#folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
-    this.#owned.use({ [Symbol.asyncDispose]: () => rm(this.#folder, { recursive: true }) });
+    this.#resources.use({ [Symbol.asyncDispose]: () => rm(this.#folder, { recursive: true }) });
     for (const machine of this.machines) {
-      this.#owned.use(await MeshUpstream.start(this.clock, machine, this.options));
+      this.#resources.use(await MeshUpstream.start(this.clock, machine, this.options));
     }
     const storePort = Number(this.#store.url.port);
     for (const machine of this.machines) {
       const path = join(this.#folder, `${machine.name}.json`);
       const environment = await writeSettings(path, machine, this.machines, storePort);
-      this.programs.push(this.#owned.use(Program.launch(words, ROOT, environment)));
+      this.programs.push(this.#resources.use(Program.launch(nodeArguments, ROOT, environment)));
     }
   }
 }
@@ -132,11 +136,11 @@
 async function buildForPlatform(): Promise<void> {
   const building = spawn(process.execPath, ['deploy/build.mjs'], { cwd: ROOT, stdio: 'inherit' });
   const [code] = (await once(building, 'exit')) as [number | null];
-  if (code !== 0) throw new Error('the build for the platform fails');
+  if (code !== 0) throw new Error(`deploy/build.mjs failed with exit code ${code}`);
 }
 
-/** What the deploy file starts on a machine, without the name of Node itself. */
-async function runWords(): Promise<string[]> {
+/** The arguments that `deploy/system.toml` passes to Node. */
+async function readNodeArguments(): Promise<string[]> {
   const file = await readFile(join(ROOT, 'deploy/system.toml'), 'utf8');
   const [, run = ''] = /^run = "node (.*)"$/m.exec(file) ?? [];
   return run.split(' ');
--- a/src/bench/notes.ts
+++ b/src/bench/notes.ts
@@ -1,10 +1,10 @@
-/** Release notes of a size like the users'. */
+/** Release notes for the experiments. */
 import { ReleaseNote, type ReleaseNoteInput } from '../contracts.js';
 
 const ROUTES_PER_SERVICE = 2;
 
-/** The first note: every service with its upstream, limit and routes. */
-export function openingNote(services: number): ReleaseNote {
+/** Adds an upstream, a limit and routes for every service. */
+export function initialNote(services: number): ReleaseNote {
   const names = Array.from({ length: services }, (_, index) => `service-${index}`);
   return ReleaseNote.parse({
     id: 'opening',
@@ -20,8 +20,8 @@
   } satisfies ReleaseNoteInput);
 }
 
-/** Changes one route of one service. */
-export function changingNote(turn: number, services: number): ReleaseNote {
+/** Changes the time-out of one route of one service. */
+export function changeNote(turn: number, services: number): ReleaseNote {
   const name = `service-${turn % services}`;
   return ReleaseNote.parse({
     id: `change-${turn}`,
--- a/src/bench/plain_proxy_main.ts
+++ b/src/bench/plain_proxy_main.ts
@@ -1,6 +1,7 @@
 /**
- * The baseline of the experiments on requests: a proxy with no limit that retries plainly.
- * Settings: ports of the upstream instances, comma-separated; time it waits for an answer.
+ * Baseline for the request experiments: a proxy with no concurrency limit that retries at once.
+ * Arguments: comma-separated ports of the upstream instances; total time for all attempts of a
+ * request in milliseconds.
  */
 import { Agent, createServer, type IncomingMessage, request } from 'node:http';
 import { listen } from '../standins/listen.js';
@@ -18,7 +19,9 @@
   return new Promise((resolve, reject) => {
     const options = { agent, host: '127.0.0.1', port, method, path: url, headers };
     const outgoing = request(options, resolve);
-    outgoing.setTimeout(Number(timeoutMs) / ATTEMPTS, () => outgoing.destroy(new Error('late')));
+    outgoing.setTimeout(Number(timeoutMs) / ATTEMPTS, () =>
+      outgoing.destroy(new Error('answer timed out')),
+    );
     outgoing.on('error', reject);
     outgoing.end();
   });
@@ -33,7 +36,7 @@
         answer.pipe(response);
         return;
       } catch {
-        // Tried again at once, as plain retries do.
+        // Retried at once, without backoff.
       }
     }
     response.writeHead(502).end();
--- a/src/bench/platform_main.ts
+++ b/src/bench/platform_main.ts
@@ -1,8 +1,8 @@
-/** The platform stand-in as a process. */
+/** Runs the platform stand-in as a process. */
 import { MachineClock } from '../runtime/clock.js';
 import { PlatformServer } from '../standins/platform_server.js';
 
-/** What the platform gives: answers in milliseconds, so many calls a second. */
+/** Latency and rate limits of the platform that the stand-in emulates. */
 const LATENCY_MS = 2;
 const READS_PER_SECOND = 2_000;
 const WRITES_PER_SECOND = 300;
--- a/src/bench/processes.ts
+++ b/src/bench/processes.ts
@@ -1,28 +1,28 @@
-/** Real processes of the bench: started, measured from outside, stopped by their id. */
+/** Child processes: started, measured through `/proc`, and stopped. */
 import { type ChildProcess, spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { readFile } from 'node:fs/promises';
 import { createInterface } from 'node:readline';
 import { fileURLToPath } from 'node:url';
 
-/** What the kernel has counted for a process so far. */
+/** The kernel's counters of a process since its start. */
 export interface Usage {
-  /** Processor time in milliseconds. */
+  /** CPU time in milliseconds. */
   readonly cpuMs: number;
   readonly rssBytes: number;
-  /** Bytes read and written through system calls; nearly all of them are socket payload. */
+  /** Bytes read and written by system calls, nearly all of them on sockets. */
   readonly readBytes: number;
   readonly writtenBytes: number;
 }
 
-/** Ports that a program prints when it listens. */
+/** Port numbers by name, as a program prints them once it listens. */
 export type Ports = Readonly<Record<string, number>>;
 
 const MS_PER_TICK = 10;
 const USER_TICKS_FIELD = 11;
 const SYSTEM_TICKS_FIELD = 12;
 
-/** A program of `dist/` in a process of its own. */
+/** A Node program running as a child process. */
 export class Program implements AsyncDisposable {
   private constructor(
     private readonly child: ChildProcess,
@@ -32,7 +32,7 @@
   /** Starts `dist/<name>.js` and waits until it prints its ports. */
   static async start(name: string, args: readonly string[]): Promise<Program> {
     const script = fileURLToPath(new URL(`../${name}.js`, import.meta.url));
-    // Flags of the bench go on, such as `--cpu-prof`.
+    // Node flags of this process, such as `--cpu-prof`, are passed on.
     const child = spawn(process.execPath, [...process.execArgv, script, ...args], {
       stdio: ['ignore', 'pipe', 'inherit'],
     });
@@ -40,19 +40,19 @@
     const [line] = (await Promise.race([
       once(lines, 'line'),
       once(child, 'exit').then(() => {
-        throw new Error(`${name} ended before it listened`);
+        throw new Error(`${name} exited before it printed its ports`);
       }),
     ])) as [string];
     return new Program(child, JSON.parse(line) as Ports);
   }
 
-  /** Starts Node with these words, in that folder; nothing of what it prints is waited for. */
+  /** Starts Node with these arguments in `folder`, without waiting for output. */
   static launch(
-    words: readonly string[],
+    nodeArguments: readonly string[],
     folder: string,
     environment: Readonly<Record<string, string>>,
   ): Program {
-    const child = spawn(process.execPath, [...process.execArgv, ...words], {
+    const child = spawn(process.execPath, [...process.execArgv, ...nodeArguments], {
       cwd: folder,
       env: { ...process.env, ...environment },
       stdio: ['ignore', 'pipe', 'inherit'],
@@ -69,12 +69,12 @@
     this.child.kill(name);
   }
 
-  /** Ends it at once, as a crash would. */
+  /** Kills the process, as a crash would, and waits until it has exited. */
   async kill(): Promise<void> {
     await this.#end('SIGKILL');
   }
 
-  /** Asks it to stop and waits until it has. */
+  /** Asks the process to stop and waits until it has exited. */
   async stop(): Promise<void> {
     await this.#end('SIGTERM');
   }
--- a/src/bench/replay/books.ts
+++ b/src/bench/replay/books.ts
@@ -1,18 +1,20 @@
-/** What became of callers, and what it was worth. */
+/** Counts how callers were served and how much worth was earned. */
 import { type Verdict } from '../../contracts.js';
 import { rounded } from '../experiment.js';
 import { type Kind } from './pattern.js';
 
-/** A late answer is worth so much of one in time. */
+/** Worth of a late answer as a share of one in time. */
 const LATE_SHARE = 0.5;
 const WINDOW_MS = 2_000;
 
-interface Sum {
+interface WorthSum {
+  /** Worth if every request were answered in time. */
   owed: number;
+  /** Worth of the answers given. */
   earned: number;
 }
 
-/** Shares are of all callers; `worst` figures are worth earned over worth owed. */
+/** Shares are of all callers; `worst` values are the lowest share of owed worth that was earned. */
 export interface Summary {
   readonly asked: number;
   readonly worth: number;
@@ -26,35 +28,41 @@
   readonly worstKind: number;
   readonly worthByKind: Readonly<Record<string, number>>;
   readonly owedByKind: Readonly<Record<string, number>>;
-  /** Megabytes of answers between data centres. */
+  /** Answers sent between data centres, in megabytes. */
   readonly crossedMb: number;
 }
 
 const BYTES_PER_MB = 1_000_000;
 
-export class Books {
-  /** Bytes of answers between data centres. */
-  crossed = 0;
+export class ReplayStats {
+  /** Bytes of answers sent between data centres. */
+  crossedBytes = 0;
 
   readonly #counts = { asked: 0, inTarget: 0, late: 0, refused: 0, refusedAgain: 0, failed: 0 };
 
   readonly #sums = {
-    all: new Map<string, Sum>(),
-    window: new Map<string, Sum>(),
-    dataCentre: new Map<string, Sum>(),
-    kind: new Map<string, Sum>(),
+    all: new Map<string, WorthSum>(),
+    window: new Map<string, WorthSum>(),
+    dataCentre: new Map<string, WorthSum>(),
+    kind: new Map<string, WorthSum>(),
   };
 
   constructor(private readonly startAt: number) {}
 
-  served(kind: Kind, dataCentre: string, firstAt: number, now: number): void {
+  recordServed(kind: Kind, dataCentre: string, firstAt: number, now: number): void {
     const isLate = now > firstAt + kind.targetMs;
     this.#counts.asked += 1;
     this.#counts[isLate ? 'late' : 'inTarget'] += 1;
     this.#add(kind, dataCentre, firstAt, isLate ? LATE_SHARE : 1);
   }
 
-  lost(kind: Kind, dataCentre: string, firstAt: number, verdict: Verdict, refusals: number): void {
+  recordLost(
+    kind: Kind,
+    dataCentre: string,
+    firstAt: number,
+    verdict: Verdict,
+    refusals: number,
+  ): void {
     this.#counts.asked += 1;
     this.#counts[verdict === 'not-run' ? 'refused' : 'failed'] += 1;
     if (refusals > 1) this.#counts.refusedAgain += 1;
@@ -66,18 +74,18 @@
     const share = (count: number) => rounded(count / Math.max(1, asked), 3);
     return {
       asked,
-      worth: least(this.#sums.all),
+      worth: lowestShare(this.#sums.all),
       inTarget: share(counts.inTarget),
       late: share(counts.late),
       refused: share(counts.refused),
       refusedAgain: share(counts.refusedAgain),
       failed: share(counts.failed),
-      worstWindow: least(this.#sums.window),
-      worstDataCentre: least(this.#sums.dataCentre),
-      worstKind: least(this.#sums.kind),
+      worstWindow: lowestShare(this.#sums.window),
+      worstDataCentre: lowestShare(this.#sums.dataCentre),
+      worstKind: lowestShare(this.#sums.kind),
       worthByKind: byKey(this.#sums.kind, ({ owed, earned }) => rounded(earned / owed, 3)),
       owedByKind: byKey(this.#sums.kind, ({ owed }) => owed),
-      crossedMb: rounded(this.crossed / BYTES_PER_MB, 1),
+      crossedMb: rounded(this.crossedBytes / BYTES_PER_MB, 1),
     };
   }
 
@@ -94,13 +102,13 @@
 }
 
 function byKey(
-  sums: ReadonlyMap<string, Sum>,
-  figure: (sum: Sum) => number,
+  sums: ReadonlyMap<string, WorthSum>,
+  value: (sum: WorthSum) => number,
 ): Record<string, number> {
-  return Object.fromEntries([...sums].map(([key, sum]) => [key, figure(sum)]));
+  return Object.fromEntries([...sums].map(([key, sum]) => [key, value(sum)]));
 }
 
-function least(sums: ReadonlyMap<string, Sum>): number {
+function lowestShare(sums: ReadonlyMap<string, WorthSum>): number {
   const shares = [...sums.values()].map(({ owed, earned }) => earned / owed);
   return shares.length === 0 ? 0 : rounded(Math.min(...shares), 3);
 }
--- a/src/bench/replay/command.ts
+++ b/src/bench/replay/command.ts
@@ -1,14 +1,14 @@
-/** `replay PATTERN...`: compares rules on load patterns, several seeds in one run. */
+/** `replay PATTERN...`: compares policies on load patterns, with several seeds each. */
 import { table } from '../../tool/table.js';
 import { readPattern } from './pattern.js';
-import { POLICIES, replay, type Replayed } from './replay.js';
+import { POLICIES, replay, type ReplayResult } from './replay.js';
 
 const SEEDS: readonly number[] = [1, 2, 3];
 const EXIT_OK = 0;
 const EXIT_FAILED = 1;
 
 export async function replayCommand(files: readonly string[], json: boolean): Promise<number> {
-  const results: Replayed[] = [];
+  const results: ReplayResult[] = [];
   try {
     for (const file of files) {
       const pattern = await readPattern(file);
@@ -28,9 +28,9 @@
   return typeof value === 'object' ? JSON.stringify(value) : String(value);
 }
 
-function render(results: readonly Replayed[]): string {
+function render(results: readonly ReplayResult[]): string {
   const [first] = results;
-  if (!first) return 'no pattern was named';
+  if (!first) return 'no load pattern was given';
   const head = Object.keys(first);
   return table([head, ...results.map((result) => Object.values(result).map(cell))]).join('\n');
 }
--- a/src/bench/replay/pattern.ts
+++ b/src/bench/replay/pattern.ts
@@ -1,13 +1,13 @@
-/** Load patterns as files: who asks for what, who serves it, and what happens meanwhile. */
+/** File format of load patterns: requests, upstream instances and scheduled changes. */
 import { readFile } from 'node:fs/promises';
 import * as z from 'zod';
 
 const Instances = z.object({
   dataCentre: z.string(),
   slots: z.number().int().positive(),
-  /** Work done per unit of time; 1 is usual. */
+  /** Work done per unit of time, relative to a usual instance. */
   speed: z.number().positive().default(1),
-  /** What the link carries by which answers leave, in kilobits a second; any amount when absent. */
+  /** Bandwidth of the link that carries answers, in kilobits per second; unlimited when absent. */
   linkKbps: z.number().positive().optional(),
 });
 
@@ -17,36 +17,37 @@
 export const Kind = z.object({
   name: z.string(),
   upstream: z.string(),
-  /** From outside, over all data centres; 0 for what only other requests call. */
+  /** External requests over all data centres; 0 for a kind that only other requests call. */
   perSecond: z.number().min(0),
   workMs: z.number().positive(),
-  /** Work varies by so much of it, up and down. */
+  /** Largest deviation of the work, up and down, as a share of `workMs`. */
   spread: z.number().min(0).max(1).default(0.5),
   targetMs: z.number().positive(),
-  /** How long its callers wait; each up to 15 in 100 less. */
+  /** Longest time that callers wait; each waits up to 15% less. */
   waitMs: z.number().positive(),
   timeoutMs: z.number().positive(),
   priority: z.number().int().min(0).max(9).default(5),
   isRepeatable: z.boolean().default(true),
-  /** How often a caller asks again. */
+  /** How often a caller retries. */
   retries: z.number().int().min(0).default(2),
   worth: z.number().min(0).default(1),
   answerBytes: z.number().min(0).default(1_500),
-  /** Its answers vary by so much of that, up and down. */
+  /** Largest deviation of the answer size, up and down, as a share of `answerBytes`. */
   answerSpread: z.number().min(0).max(1).default(0),
-  /** What a share of these requests asks for while it holds its slot. */
+  /** A nested request that a share of these requests makes while holding its slot. */
   call: z.object({ kind: z.string(), share: z.number().min(0).max(1) }).optional(),
 });
 export type Kind = z.infer<typeof Kind>;
 
 /**
- * - `burst`: `factor` times the requests, of `dataCentre` or of all.
- * - `shift`: so much of all callers moves to `dataCentre`.
+ * A change that begins at second `at`.
+ * - `burst`: `factor` times the usual requests, in `dataCentre` or everywhere.
+ * - `shift`: a share of all callers moves to `dataCentre`.
  * - `slow`: work at a share of the instances takes `factor` times as long.
- * - `grey`: a share of the instances refuses `factor` of what it gets, for lack of room.
- * - `gone`: a share of the instances is away.
- * - `cut`: `dataCentre` reaches no other one.
- * - `herd`: all processes are away, and have forgotten everything afterwards.
+ * - `grey`: a share of the instances refuses the fraction `factor` of its requests for lack of slots.
+ * - `gone`: a share of the instances is down.
+ * - `cut`: network partition between `dataCentre` and all others.
+ * - `herd`: all processes are down, and restart with no state.
  */
 const Change = z.object({
   what: z.enum(['burst', 'shift', 'slow', 'grey', 'gone', 'cut', 'herd']),
@@ -62,7 +63,7 @@
 export const Pattern = z
   .object({
     name: z.string(),
-    /** What it shows, and what a caller would see. */
+    /** Purpose of the pattern, and what a caller observes. */
     about: z.string(),
     seconds: z.number().positive().max(600),
     upstreams: z.array(Upstream).min(1),
@@ -80,7 +81,7 @@
   });
 export type Pattern = z.infer<typeof Pattern>;
 
-/** Reads a pattern; rejects with what is wrong in it, and where. */
+/** Reads and validates a pattern; rejects with the file and the location of each error. */
 export async function readPattern(file: string): Promise<Pattern> {
   const parsed = Pattern.safeParse(JSON.parse(await readFile(file, 'utf8')));
   if (!parsed.success) throw new Error(`${file}: ${z.prettifyError(parsed.error)}`);
--- a/src/bench/replay/policy.ts
+++ b/src/bench/replay/policy.ts
@@ -1,4 +1,4 @@
-/** The rules that are compared: which of the decisions are whose. */
+/** The policies that a replay compares: each selects the components that make the decisions. */
 import PQueue from 'p-queue';
 import { type Load } from '../../admission/load.js';
 import { Uplink } from '../../admission/uplink.js';
@@ -12,8 +12,8 @@
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
 
-/** What bounds the work of one instance. */
-export interface Gate {
+/** Limits the concurrent work of one instance. */
+export interface Limiter {
   readonly load: Load;
   heldMsOf(kind: string): number;
   run(ticket: Ticket, work: () => Promise<Outcome>): Promise<void>;
@@ -24,7 +24,7 @@
 
   abstract balancer(roster: Roster, clock: Clock, random: Random): Balancer;
 
-  abstract gate(clock: Clock, slots: number): Gate;
+  abstract limiter(clock: Clock, slots: number): Limiter;
 
   returns(): Returns {
     return new Returns();
@@ -39,15 +39,15 @@
   }
 }
 
-/** The decisions of this source tree. */
-export class Ours extends Policy {
+/** The decisions of the current code. */
+export class CurrentPolicy extends Policy {
   readonly name: string = 'ours';
 
   balancer(roster: Roster, clock: Clock, random: Random): Balancer {
     return new Balancer(roster, clock, random);
   }
 
-  gate(clock: Clock, slots: number): Gate {
+  limiter(clock: Clock, slots: number): Limiter {
     const limit = new Limit(clock, slots);
     limit.restart(true);
     return limit;
@@ -55,10 +55,11 @@
 }
 
 /**
- * Placement as it was before callers were known again: who comes back is taken for new, a refused
- * request goes on to whoever is left, and bytes do not count. How work waits at an instance is ours.
+ * Placement without state about callers or answer sizes: a returning caller counts as new, a refused
+ * request is retried on any endpoint left, and bytes are not considered. Queueing at an instance is
+ * that of the current code.
  */
-export class Former extends Ours {
+export class FormerPolicy extends CurrentPolicy {
   override readonly name = 'former';
 
   override balancer(roster: Roster, clock: Clock, random: Random): Balancer {
@@ -66,11 +67,11 @@
   }
 
   override returns(): Returns {
-    return new NoReturns();
+    return new NoReturningCallers();
   }
 
   override weights(): Weights {
-    return new NoWeights();
+    return new NoAnswerSizes();
   }
 
   override uplink(clock: Clock): Uplink {
@@ -78,20 +79,20 @@
   }
 }
 
-/** Random choice, served in order of arrival, nothing refused before its time has run out. */
-export class Simple extends Policy {
+/** Random placement and FIFO queueing; a request is refused only once its deadline has passed. */
+export class SimplePolicy extends Policy {
   readonly name = 'simple';
 
   balancer(roster: Roster, clock: Clock, random: Random): Balancer {
     return new RandomBalancer(roster, clock, random);
   }
 
-  gate(clock: Clock, slots: number): Gate {
-    return new InOrder(clock, slots);
+  limiter(clock: Clock, slots: number): Limiter {
+    return new FifoLimiter(clock, slots);
   }
 
   override returns(): Returns {
-    return new NoReturns();
+    return new NoReturningCallers();
   }
 
   override uplink(clock: Clock): Uplink {
@@ -110,13 +111,13 @@
   }
 }
 
-class NoReturns extends Returns {
+class NoReturningCallers extends Returns {
   override firstAt(_: unknown, now: number): number {
     return now;
   }
 }
 
-class NoWeights extends Weights {
+class NoAnswerSizes extends Weights {
   override awayMs(): number {
     return 0;
   }
@@ -137,11 +138,11 @@
   override choose(upstream: string, tried: ReadonlySet<Experience>): Experience | undefined {
     const { size } = this.known;
     let chosen = super.choose(upstream, tried);
-    // The choice of the balancer is made among those left, so that any of them may come out.
-    const passed = new Set(tried);
+    // Skipping a random number of the balancer's choices makes any endpoint possible.
+    const skipped = new Set(tried);
     for (let skip = this.#random.below(size); skip > 0 && chosen; skip--) {
-      passed.add(chosen);
-      const next = super.choose(upstream, passed);
+      skipped.add(chosen);
+      const next = super.choose(upstream, skipped);
       if (!next) break;
       chosen = next;
     }
@@ -153,7 +154,7 @@
   }
 }
 
-class InOrder implements Gate {
+class FifoLimiter implements Limiter {
   readonly #queue: PQueue;
 
   constructor(
@@ -174,7 +175,8 @@
 
   async run({ deadline }: Ticket, work: () => Promise<Outcome>): Promise<void> {
     await this.#queue.add(async () => {
-      if (this.clock.now() >= deadline) throw notRun('deadline', 'no time was left to run');
+      if (this.clock.now() >= deadline)
+        throw notRun('deadline', 'the deadline passed while the request was queued');
       await work();
     });
   }
--- a/src/bench/replay/replay.ts
+++ b/src/bench/replay/replay.ts
@@ -1,25 +1,33 @@
-/** Plays a load pattern under several rules, in simulated time. */
+/** Replays load patterns in virtual time. */
 import { TimerClock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
 import { type Summary } from './books.js';
 import { type Pattern } from './pattern.js';
-import { Former, Ours, type Policy, Simple } from './policy.js';
+import { FormerPolicy, CurrentPolicy, type Policy, SimplePolicy } from './policy.js';
 import { inVirtualTime } from './virtual_time.js';
-import { World } from './world.js';
+import { Simulation } from './world.js';
 
-export const POLICIES: readonly Policy[] = [new Ours(), new Former(), new Simple()];
+export const POLICIES: readonly Policy[] = [
+  new CurrentPolicy(),
+  new FormerPolicy(),
+  new SimplePolicy(),
+];
 
-/** One run; the same pattern, rules and seed give the same summary. */
-export interface Replayed extends Summary {
+/** The result of one run; deterministic for a pattern, a policy and a seed. */
+export interface ReplayResult extends Summary {
   readonly pattern: string;
   readonly policy: string;
   readonly seed: number;
 }
 
-export async function replay(pattern: Pattern, policy: Policy, seed: number): Promise<Replayed> {
-  const books = await inVirtualTime(() => {
-    const world = new World(pattern, policy, new TimerClock(), new SeededRandom(seed));
-    return world.play();
+export async function replay(
+  pattern: Pattern,
+  policy: Policy,
+  seed: number,
+): Promise<ReplayResult> {
+  const stats = await inVirtualTime(() => {
+    const simulation = new Simulation(pattern, policy, new TimerClock(), new SeededRandom(seed));
+    return simulation.run();
   });
-  return { pattern: pattern.name, policy: policy.name, seed, ...books.summary };
+  return { pattern: pattern.name, policy: policy.name, seed, ...stats.summary };
 }
--- a/src/bench/replay/station.ts
+++ b/src/bench/replay/station.ts
@@ -1,4 +1,4 @@
-/** One process of the emulated fleet, with its upstream instance: entry, guard and instance. */
+/** A process of the simulated fleet: entry, guard and the upstream instance. */
 import { asOutcome, type Member, notRun, OutcomeError, Route } from '../../contracts.js';
 import { type Load } from '../../admission/load.js';
 import { type Departure, type Uplink, PIECE_BYTES } from '../../admission/uplink.js';
@@ -16,43 +16,43 @@
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
 import { type Kind } from './pattern.js';
-import { type Gate, type Policy } from './policy.js';
-import { Wire } from './wire.js';
-import { type World } from './world.js';
+import { type Limiter, type Policy } from './policy.js';
+import { NetworkLink } from './wire.js';
+import { type Simulation } from './world.js';
 
-/** One way within a data centre, and to another one, in milliseconds. */
-const NEAR_MS = 1;
-const FAR_MS = 2;
-/** After so long a connection that does not come about is given up, in milliseconds. */
-const CONNECT_MS = 200;
+/** One-way latency within a data centre and to another one, in milliseconds. */
+const LOCAL_LATENCY_MS = 1;
+const REMOTE_LATENCY_MS = 2;
+const CONNECT_TIMEOUT_MS = 200;
 const RETRY_PERCENT = 10;
 
-/** A caller with one request, over all its attempts. */
-export interface Asker {
+/** A caller with one request and all its attempts. */
+export interface SimulatedCaller {
+  /** Identifies the request; the same in all attempts. */
   readonly asks: string;
-  /** In milliseconds since the epoch. */
+  /** Instant until which the caller waits, in milliseconds since the epoch. */
   readonly givesUpAt: number;
 }
 
-export class Station {
-  #gate!: Gate;
+export class SimulatedNode {
+  #limiter!: Limiter;
 
   #balancer!: Balancer;
 
-  #returns!: Returns;
+  #returningCallers!: Returns;
 
-  #weights!: Weights;
+  #entryAnswerSizes!: Weights;
 
-  #budgets!: RetryBudgets;
+  #retryBudgets!: RetryBudgets;
 
-  #life = -1;
+  #restartCount = -1;
 
-  readonly #wire: Wire;
+  readonly #link: NetworkLink;
 
   #uplink!: Uplink;
 
-  /** What answers by kind weigh, as seen beside the instance. */
-  #beside!: Weights;
+  /** Answer sizes by kind, as the guard measures them. */
+  #guardAnswerSizes!: Weights;
 
   constructor(
     readonly member: Member,
@@ -60,12 +60,12 @@
     private readonly speed: number,
     private readonly linkKbps: number | undefined,
     private readonly policy: Policy,
-    private readonly world: World,
+    private readonly simulation: Simulation,
     private readonly clock: Clock,
     private readonly random: Random,
   ) {
-    this.#wire = new Wire(clock, linkKbps);
-    this.#begin(0);
+    this.#link = new NetworkLink(clock, linkKbps);
+    this.#resetAfterRestart(0);
   }
 
   get dataCentre(): string {
@@ -76,86 +76,90 @@
     return this.member.endpoint!.upstream;
   }
 
-  /** Takes a request as an entry does; rejects with the refusal. */
-  async ask(kind: Kind, { asks, givesUpAt }: Asker): Promise<void> {
+  /** Handles a request as the entry does; rejects with the refusal. */
+  async handleAsEntry(kind: Kind, { asks, givesUpAt }: SimulatedCaller): Promise<void> {
     const now = this.clock.now();
-    this.#begin(this.world.weather.lives(now));
+    this.#resetAfterRestart(this.simulation.schedule.restartCount(now));
     const caller = { asks, givesUpAt };
-    const firstAt = this.#returns.firstAt(caller, now);
+    const firstAt = this.#returningCallers.firstAt(caller, now);
     const deadline = Math.min(givesUpAt, now + kind.timeoutMs);
     const targetAt = Math.min(firstAt + kind.targetMs, deadline);
     try {
-      await this.#carry(kind, this.#journey(kind, deadline, targetAt));
+      await this.#callWithRetries(kind, this.#routedRequest(kind, deadline, targetAt));
     } catch (error) {
-      this.#returns.turnedAway(caller, firstAt);
+      this.#returningCallers.turnedAway(caller, firstAt);
       throw withReturnTime(asOutcome(error), this.clock.now(), this.random);
     }
   }
 
-  /** Takes a request as a guard does; resolves to whether the instance answered it well. */
-  async guard(kind: Kind, ticket: Ticket): Promise<boolean> {
-    this.#begin(this.world.weather.lives(this.clock.now()));
-    const bytes = this.#beside.heavyBytes(kind.name);
-    const heldMs = this.#gate.heldMsOf(kind.name);
+  /** Handles a request as the guard does; resolves to whether the instance succeeded. */
+  async handleAsGuard(kind: Kind, ticket: Ticket): Promise<boolean> {
+    this.#resetAfterRestart(this.simulation.schedule.restartCount(this.clock.now()));
+    const bytes = this.#guardAnswerSizes.heavyBytes(kind.name);
+    const heldMs = this.#limiter.heldMsOf(kind.name);
     const { targetAt = ticket.deadline, deadline } = ticket;
     using departure =
       bytes > 0 ? this.#uplink.admit({ bytes, heldMs, targetAt, deadline }) : undefined;
-    let isWell = true;
-    await this.#gate.run(ticket, async (): Promise<Outcome> => {
+    let isSuccess = true;
+    await this.#limiter.run(ticket, async (): Promise<Outcome> => {
       const startedAt = this.clock.now();
-      isWell = await this.#work(kind, ticket.deadline);
+      isSuccess = await this.#execute(kind, ticket.deadline);
       return { headMs: this.clock.now() - startedAt, isShed: false };
     });
-    const answerBytes = this.#weigh(kind);
-    this.#beside.learn(kind.name, answerBytes);
+    const answerBytes = this.#drawAnswerBytes(kind);
+    this.#guardAnswerSizes.learn(kind.name, answerBytes);
     departure?.resize(answerBytes);
-    await this.#leave(answerBytes, deadline, departure);
-    return isWell;
+    await this.#sendAnswer(answerBytes, deadline, departure);
+    return isSuccess;
   }
 
   get load(): Load {
-    return { ...this.#gate.load, leavingMs: this.#uplink.backlogMs };
+    return { ...this.#limiter.load, leavingMs: this.#uplink.backlogMs };
   }
 
-  #weigh({ answerBytes, answerSpread }: Kind): number {
+  #drawAnswerBytes({ answerBytes, answerSpread }: Kind): number {
     if (answerSpread === 0) return answerBytes;
     return answerBytes * (1 + answerSpread * (2 * this.random.next() - 1));
   }
 
-  /** Lets an answer go, a heavy one in pieces; rejects if it is not there by the deadline. */
-  async #leave(bytes: number, deadline: number, departure: Departure | undefined): Promise<void> {
+  /** Sends an answer, a large one in pieces; rejects if it is not sent by the deadline. */
+  async #sendAnswer(
+    bytes: number,
+    deadline: number,
+    departure: Departure | undefined,
+  ): Promise<void> {
     if (!departure) this.#uplink.passed(bytes);
     const pieceBytes = departure ? PIECE_BYTES : bytes;
     for (let left = bytes; left > 0; left -= pieceBytes) {
       const piece = Math.min(left, pieceBytes);
       await departure?.turn(piece);
-      const hasLeft = await this.#wire.carry(piece, deadline);
-      if (!hasLeft) throw tooLate();
+      const hasLeft = await this.#link.send(piece, deadline);
+      if (!hasLeft) throw deadlineExceeded();
     }
   }
 
-  /** All processes know nothing after they have died together. */
-  #begin(life: number): void {
-    if (life === this.#life) return;
-    this.#life = life;
+  /** Discards all state if the processes have restarted since the last request. */
+  #resetAfterRestart(restartCount: number): void {
+    if (restartCount === this.#restartCount) return;
+    this.#restartCount = restartCount;
     const { policy, clock, random } = this;
     const roster = new Roster(this.member);
-    roster.merge(this.world.members);
-    this.#gate = policy.gate(clock, this.member.endpoint!.slots);
+    roster.merge(this.simulation.members);
+    this.#limiter = policy.limiter(clock, this.member.endpoint!.slots);
     this.#balancer = policy.balancer(roster, clock, random);
-    this.#returns = policy.returns();
-    this.#weights = policy.weights();
-    this.#beside = new Weights();
+    this.#returningCallers = policy.returns();
+    this.#entryAnswerSizes = policy.weights();
+    this.#guardAnswerSizes = new Weights();
     this.#uplink = policy.uplink(clock, this.linkKbps);
-    this.#budgets = new RetryBudgets(clock, random);
+    this.#retryBudgets = new RetryBudgets(clock, random);
   }
 
-  async #carry(kind: Kind, journey: Journey): Promise<void> {
+  async #callWithRetries(kind: Kind, request: Journey): Promise<void> {
     const body = new EmptyBody();
-    const attempts = new Attempts(journey, body, this.#balancer, this.#budgets, this.clock);
+    const attempts = new Attempts(request, body, this.#balancer, this.#retryBudgets, this.clock);
     let endpoint = attempts.first();
     for (;;) {
-      const failure = await this.#attempt(kind, journey, endpoint);
+      const failure = await this.#attempt(kind, request, endpoint);
       if (!failure) return;
       const further = attempts.next(endpoint, failure);
       await this.clock.sleepUntil(further.startAt);
@@ -169,74 +173,78 @@
     endpoint: Experience,
   ): Promise<OutcomeError | undefined> {
     const startedAt = this.clock.now();
-    const station = this.world.stationOf(endpoint.member.instance);
+    const node = this.simulation.nodeOf(endpoint.member.instance);
     endpoint.inFlight += 1;
     endpoint.sent(startedAt);
     try {
-      await this.#reach(station);
+      await this.#connectTo(node);
       const { priority, name } = kind;
       const onGone = () => {};
       const ticket = { priority, kind: name, targetAt, deadline, limit: undefined, onGone };
-      const isWell = await station.guard(kind, ticket);
+      const isSuccess = await node.handleAsGuard(kind, ticket);
       const tookMs = this.clock.now() - startedAt;
-      this.#balancer.answered(endpoint, tookMs, station.load, !isWell);
-      this.#budgets.of(upstream).credit(RETRY_PERCENT);
-      this.#weights.learn(name, kind.answerBytes);
-      this.world.carried(this, station, kind.answerBytes);
-      if (!isWell) throw new OutcomeError('failed', { verdict: 'ran', reason: 'failed' });
+      this.#balancer.answered(endpoint, tookMs, node.load, !isSuccess);
+      this.#retryBudgets.of(upstream).credit(RETRY_PERCENT);
+      this.#entryAnswerSizes.learn(name, kind.answerBytes);
+      this.simulation.recordTransfer(this, node, kind.answerBytes);
+      if (!isSuccess)
+        throw new OutcomeError('the upstream instance failed', {
+          verdict: 'ran',
+          reason: 'failed',
+        });
       return undefined;
     } catch (error) {
       const outcome = asOutcome(error);
       if (outcome.verdict === 'ran') throw outcome;
       const isHeard = outcome.reason !== 'unreachable';
-      this.#balancer.refused(endpoint, outcome, isHeard ? station.load : undefined);
+      this.#balancer.refused(endpoint, outcome, isHeard ? node.load : undefined);
       return outcome;
     } finally {
       endpoint.inFlight -= 1;
     }
   }
 
-  async #reach(station: Station): Promise<void> {
-    const { weather } = this.world;
+  async #connectTo(node: SimulatedNode): Promise<void> {
+    const { schedule } = this.simulation;
     const now = this.clock.now();
-    const isNear = station.dataCentre === this.dataCentre;
-    const isReached =
-      !weather.isCut(this.dataCentre, station.dataCentre, now) && !weather.isHerdAway(now);
-    const wayMs = isNear ? NEAR_MS : FAR_MS;
-    await this.clock.sleepUntil(now + (isReached ? wayMs : CONNECT_MS));
-    if (!isReached) throw notRun('unreachable', 'no connection in time');
-    if (weather.isGone(station.upstream, station.index, now)) {
-      throw notRun('no-endpoint', 'nobody is there');
+    const isLocal = node.dataCentre === this.dataCentre;
+    const isReachable =
+      !schedule.isPartitioned(this.dataCentre, node.dataCentre, now) && !schedule.areAllDown(now);
+    const latencyMs = isLocal ? LOCAL_LATENCY_MS : REMOTE_LATENCY_MS;
+    await this.clock.sleepUntil(now + (isReachable ? latencyMs : CONNECT_TIMEOUT_MS));
+    if (!isReachable) throw notRun('unreachable', 'connecting to the process timed out');
+    if (schedule.isDown(node.upstream, node.index, now)) {
+      throw notRun('no-endpoint', 'the upstream instance is down');
     }
   }
 
-  /** What the instance does with it. */
-  async #work(kind: Kind, deadline: number): Promise<boolean> {
-    const { weather } = this.world;
+  /** Runs a request at the upstream instance; resolves to whether it succeeded. */
+  async #execute(kind: Kind, deadline: number): Promise<boolean> {
+    const { schedule } = this.simulation;
     const now = this.clock.now();
-    if (this.random.next() < weather.refusing(this.upstream, this.index, now)) {
-      throw notRun('shed', 'the upstream instance had no room');
+    if (this.random.next() < schedule.refusalRate(this.upstream, this.index, now)) {
+      throw notRun('shed', 'the upstream instance refused: no free slot');
     }
-    const slowness = weather.slowness(this.upstream, this.index, now) / this.speed;
+    const workTimeFactor = schedule.workTimeFactor(this.upstream, this.index, now) / this.speed;
     const varied = 1 + kind.spread * (2 * this.random.next() - 1);
-    const endAt = now + kind.workMs * varied * slowness;
+    const endAt = now + kind.workMs * varied * workTimeFactor;
     await this.clock.sleepUntil(Math.min(endAt, deadline));
-    if (endAt > deadline) throw tooLate();
+    if (endAt > deadline) throw deadlineExceeded();
     const { call } = kind;
     if (!call || this.random.next() >= call.share) return true;
-    return this.#call(this.world.kindOf(call.kind), deadline);
+    return this.#callNested(this.simulation.kindOf(call.kind), deadline);
   }
 
-  async #call(kind: Kind, deadline: number): Promise<boolean> {
+  async #callNested(kind: Kind, deadline: number): Promise<boolean> {
     const givesUpAt = Math.min(deadline, this.clock.now() + kind.waitMs);
-    return this.ask(kind, { asks: this.random.nonce(), givesUpAt }).then(
+    return this.handleAsEntry(kind, { asks: this.random.nonce(), givesUpAt }).then(
       () => true,
       () => false,
     );
   }
 
-  /** As much of a journey as the decisions look at. */
-  #journey(kind: Kind, deadline: number, targetAt: number): Journey {
+  /** A routed request with only the fields that the decisions read. */
+  #routedRequest(kind: Kind, deadline: number, targetAt: number): Journey {
     const { name, upstream, isRepeatable } = kind;
     const response = {
       headersSent: false,
@@ -249,7 +257,7 @@
       response,
       route,
       upstream,
-      awayMs: this.#weights.awayMs(name),
+      awayMs: this.#entryAnswerSizes.awayMs(name),
       deadline,
       targetAt,
       isRepeatable,
@@ -260,6 +268,9 @@
   }
 }
 
-function tooLate(): OutcomeError {
-  return new OutcomeError('no time', { verdict: 'may-have-run', reason: 'deadline' });
+function deadlineExceeded(): OutcomeError {
+  return new OutcomeError('the deadline passed before the answer was complete', {
+    verdict: 'may-have-run',
+    reason: 'deadline',
+  });
 }
--- a/src/bench/replay/virtual_time.ts
+++ b/src/bench/replay/virtual_time.ts
@@ -1,9 +1,12 @@
-/** Plays tasks that wait by timers in no time: when all of them wait, the clock leaps on. */
+/** Runs tasks in virtual time: when all tasks wait, the clock advances to the next timer. */
 import FakeTimers from '@sinonjs/fake-timers';
 
 const START = 1_000_000_000_000;
 
-/** Resolves to what `run` resolves to. One at a time: the timers of this process are replaced. */
+/**
+ * Resolves to the result of `run`. Only one call may be active at a time, since the timers of this
+ * process are replaced.
+ */
 export async function inVirtualTime<T>(run: () => Promise<T>): Promise<T> {
   const timers = FakeTimers.install({
     now: START,
@@ -14,10 +17,10 @@
     const result = run().finally(() => {
       isDone = true;
     });
-    // An error of it is thrown below, where it is awaited.
+    // Prevents an unhandled rejection; an error is thrown below, where `result` is awaited.
     result.catch(() => {});
     while (!isDone) {
-      await settled();
+      await runPendingTasks();
       if (!isDone) timers.next();
     }
     return await result;
@@ -26,8 +29,8 @@
   }
 }
 
-/** Whatever can go on without time passing has done so. */
-function settled(): Promise<void> {
+/** Resolves once everything that does not wait for a timer has run. */
+function runPendingTasks(): Promise<void> {
   return new Promise((resolve) => {
     setImmediate(resolve);
   });
--- a/src/bench/replay/wire.ts
+++ b/src/bench/replay/wire.ts
@@ -1,29 +1,32 @@
-/** The link of one emulated machine: bytes leave one after the other, in order. */
+/** The outgoing network link of a simulated machine: bytes are sent in FIFO order. */
 import { type Clock } from '../../runtime/clock.js';
 
-/** Bytes that a kilobit a second carries in a millisecond. */
+/** Bytes per millisecond at one kilobit per second. */
 const BYTES_PER_MS_PER_KBPS = 1 / 8;
 
-export class Wire {
-  /** When all that was handed to it has left, in milliseconds since the epoch. */
-  #freeAt = 0;
+export class NetworkLink {
+  /** Instant at which all queued bytes are sent, in milliseconds since the epoch. */
+  #sentUntil = 0;
 
   constructor(
     private readonly clock: Clock,
     private readonly kbps: number | undefined,
   ) {}
 
-  /** Bytes that it carries in a millisecond. */
+  /** Undefined when the bandwidth is unlimited. */
   get bytesPerMs(): number | undefined {
     return this.kbps === undefined ? undefined : this.kbps * BYTES_PER_MS_PER_KBPS;
   }
 
-  /** Resolves when the bytes have left, or at `deadline`; true if they have. They leave anyway. */
-  async carry(bytes: number, deadline: number): Promise<boolean> {
+  /**
+   * Resolves once the bytes are sent or at `deadline`, to whether they were sent by then. Bytes
+   * that miss the deadline still occupy the link.
+   */
+  async send(bytes: number, deadline: number): Promise<boolean> {
     const { bytesPerMs } = this;
     if (bytesPerMs === undefined) return true;
-    this.#freeAt = Math.max(this.clock.now(), this.#freeAt) + bytes / bytesPerMs;
-    const leftAt = this.#freeAt;
+    this.#sentUntil = Math.max(this.clock.now(), this.#sentUntil) + bytes / bytesPerMs;
+    const leftAt = this.#sentUntil;
     await this.clock.sleepUntil(Math.min(leftAt, deadline));
     return leftAt <= deadline;
   }
--- a/src/bench/replay/world.ts
+++ b/src/bench/replay/world.ts
@@ -1,36 +1,36 @@
-/** The emulated deployment: its processes, its callers and what happens to them. */
+/** Simulates a deployment and its callers under a load pattern. */
 import { asOutcome, type Member } from '../../contracts.js';
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
-import { Books } from './books.js';
+import { ReplayStats } from './books.js';
 import { type Kind, type Pattern } from './pattern.js';
 import { type Policy } from './policy.js';
-import { type Asker, Station } from './station.js';
-import { dataCentresOf, Weather } from './weather.js';
+import { type SimulatedCaller, SimulatedNode } from './station.js';
+import { dataCentresOf, ChangeSchedule } from './weather.js';
 
 const MS_PER_SECOND = 1_000;
-/** One way between callers and their data centre, in milliseconds. */
-const CALLER_MS = 8;
-/** Callers wait for as long at most when they are told when to come back, of what is left. */
-const PATIENCE = 1 / 3;
-/** How much less than the longest wait callers have, at most. */
-const IMPATIENCE = 0.15;
-/** When a caller asks again who was told nothing, in milliseconds. */
-const AGAIN_MS = 200;
+/** One-way latency between callers and their data centre, in milliseconds. */
+const CALLER_LATENCY_MS = 8;
+/** Longest wait before a retry, as a share of the time that the caller has left. */
+const MAX_RETRY_WAIT_SHARE = 1 / 3;
+/** Largest share by which a caller waits less than the kind's `waitMs`. */
+const WAIT_VARIATION = 0.15;
+/** Wait before a retry when the refusal names no retry time, in milliseconds. */
+const DEFAULT_RETRY_MS = 200;
 
-export class World {
-  readonly weather: Weather;
+export class Simulation {
+  readonly schedule: ChangeSchedule;
 
-  readonly books: Books;
+  readonly stats: ReplayStats;
 
   readonly members: Member[] = [];
 
-  readonly #stations: Station[] = [];
+  readonly #nodes: SimulatedNode[] = [];
 
   readonly #startAt: number;
 
-  /** Callers who have not been answered for good. */
-  readonly #open = new Set<Promise<void>>();
+  /** Callers without a final result. */
+  readonly #pendingCallers = new Set<Promise<void>>();
 
   constructor(
     private readonly pattern: Pattern,
@@ -39,8 +39,8 @@
     private readonly random: Random,
   ) {
     this.#startAt = clock.now();
-    this.weather = new Weather(pattern, this.#startAt);
-    this.books = new Books(this.#startAt);
+    this.schedule = new ChangeSchedule(pattern, this.#startAt);
+    this.stats = new ReplayStats(this.#startAt);
     const places = pattern.upstreams.flatMap(({ name, instances }) =>
       instances.map((instance, index) => ({ name, index, ...instance })),
     );
@@ -49,87 +49,92 @@
     );
     places.forEach(({ index, speed, linkKbps }, place) => {
       const member = this.members[place]!;
-      this.#stations.push(new Station(member, index, speed, linkKbps, policy, this, clock, random));
+      this.#nodes.push(
+        new SimulatedNode(member, index, speed, linkKbps, policy, this, clock, random),
+      );
     });
   }
 
-  stationOf(instance: string): Station {
-    return this.#stations.find(({ member }) => member.instance === instance)!;
+  nodeOf(instance: string): SimulatedNode {
+    return this.#nodes.find(({ member }) => member.instance === instance)!;
   }
 
   kindOf(name: string): Kind {
     return this.pattern.kinds.find((kind) => kind.name === name)!;
   }
 
-  /** Notes what crossed between data centres. */
-  carried(from: Station, to: Station, bytes: number): void {
-    if (from.dataCentre !== to.dataCentre) this.books.crossed += bytes;
+  /** Counts the bytes of an answer if it is sent between data centres. */
+  recordTransfer(from: SimulatedNode, to: SimulatedNode, bytes: number): void {
+    if (from.dataCentre !== to.dataCentre) this.stats.crossedBytes += bytes;
   }
 
-  /** Resolves when every caller has been answered for good. */
-  async play(): Promise<Books> {
+  /** Resolves once every caller has a final result. */
+  async run(): Promise<ReplayStats> {
     const dataCentres = dataCentresOf(this.pattern);
     const outside = this.pattern.kinds.filter(({ perSecond }) => perSecond > 0);
     const streams = outside.flatMap((kind) =>
-      dataCentres.map((dataCentre) => this.#stream(kind, dataCentre, dataCentres.length)),
+      dataCentres.map((dataCentre) => this.#generateLoad(kind, dataCentre, dataCentres.length)),
     );
     await Promise.all(streams);
-    await Promise.all(this.#open);
-    return this.books;
+    await Promise.all(this.#pendingCallers);
+    return this.stats;
   }
 
-  /** Callers come one by one, at random instants. */
-  async #stream(kind: Kind, dataCentre: string, dataCentres: number): Promise<void> {
+  /** Starts callers of a kind in a data centre as a Poisson process, until the pattern ends. */
+  async #generateLoad(kind: Kind, dataCentre: string, dataCentres: number): Promise<void> {
     const endAt = this.#startAt + this.pattern.seconds * MS_PER_SECOND;
     for (;;) {
       const now = this.clock.now();
       const perSecond =
-        (kind.perSecond / dataCentres) * Math.max(0.01, this.weather.rateIn(dataCentre, now));
+        (kind.perSecond / dataCentres) * Math.max(0.01, this.schedule.loadFactor(dataCentre, now));
       const pauseMs = (-Math.log(1 - this.random.next()) / perSecond) * MS_PER_SECOND;
       await this.clock.sleepUntil(now + pauseMs);
       if (this.clock.now() >= endAt) return;
-      const caller = this.#serve(kind, dataCentre);
-      this.#open.add(caller);
-      void caller.finally(() => this.#open.delete(caller));
+      const caller = this.#runCaller(kind, dataCentre);
+      this.#pendingCallers.add(caller);
+      void caller.finally(() => this.#pendingCallers.delete(caller));
     }
   }
 
-  /** A caller with its attempts. */
-  async #serve(kind: Kind, dataCentre: string): Promise<void> {
+  /** Runs a caller with its retries and records the result. */
+  async #runCaller(kind: Kind, dataCentre: string): Promise<void> {
     const firstAt = this.clock.now();
-    const givesUpAt = firstAt + kind.waitMs * (1 - IMPATIENCE * this.random.next());
-    const asker: Asker = { asks: this.random.nonce(), givesUpAt };
-    const stations = this.#stations.filter((station) => station.dataCentre === dataCentre);
-    const station = stations[this.random.below(stations.length)]!;
+    const givesUpAt = firstAt + kind.waitMs * (1 - WAIT_VARIATION * this.random.next());
+    const caller: SimulatedCaller = { asks: this.random.nonce(), givesUpAt };
+    const nodes = this.#nodes.filter((node) => node.dataCentre === dataCentre);
+    const node = nodes[this.random.below(nodes.length)]!;
     let refusals = 0;
     for (let attempt = 0; ; attempt++) {
-      const failure = await this.#attempt(kind, station, asker);
+      const failure = await this.#attempt(kind, node, caller);
       const now = this.clock.now();
       if (!failure) {
-        this.books.served(kind, dataCentre, firstAt, now);
+        this.stats.recordServed(kind, dataCentre, firstAt, now);
         return;
       }
       if (failure.verdict === 'not-run') refusals += 1;
-      const mayAsk = kind.isRepeatable || failure.verdict === 'not-run';
+      const mayRetry = kind.isRepeatable || failure.verdict === 'not-run';
       const left = givesUpAt - now;
-      const pauseMs = Math.min((failure.retryAt ?? now + AGAIN_MS) - now, left * PATIENCE);
-      if (!mayAsk || attempt >= kind.retries || left <= CALLER_MS) {
-        this.books.lost(kind, dataCentre, firstAt, failure.verdict, refusals);
+      const pauseMs = Math.min(
+        (failure.retryAt ?? now + DEFAULT_RETRY_MS) - now,
+        left * MAX_RETRY_WAIT_SHARE,
+      );
+      if (!mayRetry || attempt >= kind.retries || left <= CALLER_LATENCY_MS) {
+        this.stats.recordLost(kind, dataCentre, firstAt, failure.verdict, refusals);
         return;
       }
       await this.clock.sleepUntil(now + pauseMs);
     }
   }
 
-  async #attempt(kind: Kind, station: Station, asker: Asker) {
-    await this.clock.sleepUntil(this.clock.now() + CALLER_MS);
+  async #attempt(kind: Kind, node: SimulatedNode, caller: SimulatedCaller) {
+    await this.clock.sleepUntil(this.clock.now() + CALLER_LATENCY_MS);
     try {
-      if (this.weather.isHerdAway(this.clock.now())) throw new Error('nobody listens');
-      await station.ask(kind, asker);
-      await this.clock.sleepUntil(this.clock.now() + CALLER_MS);
+      if (this.schedule.areAllDown(this.clock.now())) throw new Error('all processes are down');
+      await node.handleAsEntry(kind, caller);
+      await this.clock.sleepUntil(this.clock.now() + CALLER_LATENCY_MS);
       return undefined;
     } catch (error) {
-      await this.clock.sleepUntil(this.clock.now() + CALLER_MS);
+      await this.clock.sleepUntil(this.clock.now() + CALLER_LATENCY_MS);
       return asOutcome(error);
     }
   }
--- a/src/bench/results.ts
+++ b/src/bench/results.ts
@@ -1,11 +1,11 @@
-/** Results of the bench that commits and pages quote. */
+/** Saved results of the benchmarks. */
 import { mkdir, writeFile } from 'node:fs/promises';
 
-/** Where they are kept, whether the bench runs from its sources or built. */
-export const RESULTS = new URL('../../bench/results/', import.meta.url);
+/** The same folder whether the benchmark runs from `src/` or from `dist/`. */
+export const RESULTS_FOLDER = new URL('../../bench/results/', import.meta.url);
 
 /** Writes the result of an experiment to `bench/results/NAME.json`. */
-export async function keep(name: string, result: unknown): Promise<void> {
-  await mkdir(RESULTS, { recursive: true });
-  await writeFile(new URL(`${name}.json`, RESULTS), `${JSON.stringify(result, null, 2)}\n`);
+export async function saveResult(name: string, result: unknown): Promise<void> {
+  await mkdir(RESULTS_FOLDER, { recursive: true });
+  await writeFile(new URL(`${name}.json`, RESULTS_FOLDER), `${JSON.stringify(result, null, 2)}\n`);
 }
--- a/src/bench/rollouts/conduct.ts
+++ b/src/bench/rollouts/conduct.ts
@@ -1,45 +1,45 @@
-/** How a version behaves, for runs of the model. */
+/** Behaviours of a version in simulated roll-outs. */
 
-/** What an endpoint is like when a request begins. */
-export interface Moment {
-  /** Since the version's endpoints were started, in milliseconds. */
+/** State of an endpoint when a request starts. */
+export interface RequestContext {
+  /** Time since the version's endpoints were started, in milliseconds. */
   readonly ageMs: number;
-  /** Requests that it runs, as a share of its slots. */
+  /** Requests in flight as a share of the slots. */
   readonly load: number;
   readonly route: string;
 }
 
-/** What becomes of the request. */
-export interface Fate {
-  /** Probability of a failure. */
-  readonly failing: number;
-  /** How many times as long it takes. */
-  readonly slower: number;
+/** How a version handles a request. */
+export interface RequestEffect {
+  /** Probability of failure, 0 to 1. */
+  readonly failureRate: number;
+  /** Factor by which the request takes longer. */
+  readonly slowdown: number;
 }
 
-export type Conduct = (moment: Moment) => Fate;
+export type VersionBehaviour = (context: RequestContext) => RequestEffect;
 
-export const SOUND_FATE: Fate = { failing: 0.003, slower: 1 };
-const FAILING: Fate = { failing: 0.5, slower: 1 };
-const SLOW: Fate = { failing: 0.003, slower: 5 };
-/** Instant from which a version that turns bad late is bad, in milliseconds of its age. */
-const LATE_MS = 3_500;
-/** Share of the slots in use from which a version that does not bear load fails. */
+export const SOUND: RequestEffect = { failureRate: 0.003, slowdown: 1 };
+const FAILING: RequestEffect = { failureRate: 0.5, slowdown: 1 };
+const SLOW: RequestEffect = { failureRate: 0.003, slowdown: 5 };
+/** Age from which the `late` version fails, in milliseconds. */
+const LATE_FAILURE_AGE_MS = 3_500;
+/** Share of slots in use from which the `under-load` version fails. */
 const HEAVY_LOAD = 0.7;
 
-const when =
-  (isBad: (moment: Moment) => boolean, fate: Fate): Conduct =>
-  (moment) =>
-    isBad(moment) ? fate : SOUND_FATE;
+const badWhen =
+  (isBad: (context: RequestContext) => boolean, effect: RequestEffect): VersionBehaviour =>
+  (context) =>
+    isBad(context) ? effect : SOUND;
 
-/** Versions by what is wrong with them; `sound` has nothing wrong with it. */
-export const CONDUCTS = {
-  sound: () => SOUND_FATE,
+/** Behaviours by fault; `sound` has none. */
+export const BEHAVIOURS = {
+  sound: () => SOUND,
   errors: () => FAILING,
   slow: () => SLOW,
-  late: when(({ ageMs }) => ageMs >= LATE_MS, FAILING),
-  'under-load': when(({ load }) => load >= HEAVY_LOAD, FAILING),
-  'one-route': when(({ route }) => route === 'rare', FAILING),
-} as const satisfies Readonly<Record<string, Conduct>>;
+  late: badWhen(({ ageMs }) => ageMs >= LATE_FAILURE_AGE_MS, FAILING),
+  'under-load': badWhen(({ load }) => load >= HEAVY_LOAD, FAILING),
+  'one-route': badWhen(({ route }) => route === 'rare', FAILING),
+} as const satisfies Readonly<Record<string, VersionBehaviour>>;
 
-export type ConductName = keyof typeof CONDUCTS;
+export type BehaviourName = keyof typeof BEHAVIOURS;
--- a/src/bench/rollouts/trial_run.ts
+++ b/src/bench/rollouts/trial_run.ts
@@ -1,56 +1,56 @@
-/** One roll-out in simulated time, over the real judgement and the real steps. */
+/** Simulates one roll-out with the production regression detector and phase transitions. */
 import { type Rollout, type RolloutPhase } from '../../contracts.js';
 import { AnswerCounter, EvidenceBook } from '../../rollout/evidence_book.js';
 import { Judgement } from '../../rollout/judgement.js';
 import { orderNameOf } from '../../rollout/orders.js';
 import { countFor, shareOf, mayComplete, nextPhase } from '../../rollout/steps.js';
 import { type Random, SeededRandom } from '../../runtime/random.js';
-import { type Conduct, SOUND_FATE } from './conduct.js';
+import { type VersionBehaviour, SOUND } from './conduct.js';
 
 const TICK_MS = 50;
 const SLOTS = 6;
 const WORK_MS = 130;
 const SPEEDS = [0.6, 1, 1.6];
 const RARE_SHARE = 0.2;
-/** From the order to the endpoints of its version. */
-const START_MS = 1_500;
-/** Time that the order gives, in milliseconds. */
+/** Time from the order until the endpoints of its version have started, in milliseconds. */
+const ENDPOINT_START_MS = 1_500;
+/** Duration of the roll-out as ordered, in milliseconds. */
 export const DURATION_MS = 16_000;
 const ALLOWED_SHARE = 0.1;
 const ALLOWED_SLACK = 50;
-const BAD_ANSWERS = 50;
-const ROLL_BACK_MS = 5_000;
-/** How often endpoints tell what they have counted, old ones and those on trial. */
-const OLD_EVERY_MS = 1_000;
-const TRIAL_EVERY_MS = 250;
-/** From the endpoint to those who judge, and from these to all entries, in milliseconds. */
-const EVIDENCE_WAY_MS = 400;
-const VERDICT_WAY_MS = 150;
-
-export interface TrialOptions {
-  readonly conduct: Conduct;
+const BAD_ANSWER_LIMIT = 50;
+const ROLLBACK_TIMEOUT_MS = 5_000;
+/** How often endpoints publish their counts, of the stable version and of the candidate. */
+const STABLE_REPORT_MS = 1_000;
+const CANDIDATE_REPORT_MS = 250;
+/** Delay from an endpoint to the detector and from there to all entries, in milliseconds. */
+const EVIDENCE_DELAY_MS = 400;
+const VERDICT_DELAY_MS = 150;
+
+export interface RolloutOptions {
+  readonly behaviour: VersionBehaviour;
   readonly seed: number;
   /** Endpoints of each version. */
   readonly endpoints: number;
   readonly requestsPerSecond: number;
 }
 
-export interface TrialEnd {
+export interface RolloutResult {
   readonly phase: RolloutPhase;
-  /** From the order to the last phase, in milliseconds. */
+  /** Time from the order until the roll-out ended, in milliseconds. */
   readonly tookMs: number;
-  /** Requests given to the new version until it ended, and how many a bad one may get. */
-  readonly given: number;
-  readonly allowed: number;
-  /** Whether it got any later than it may after its fiftieth bad answer. */
+  /** Requests sent to the candidate, and how many a faulty one may get at most. */
+  readonly candidateRequests: number;
+  readonly allowedRequests: number;
+  /** Whether it got a request after the time allowed from its fiftieth bad answer. */
   readonly isTooLate: boolean;
 }
 
-/** Requests that an endpoint runs. */
-class Endpoint {
+/** An endpoint and the requests that it runs. */
+class SimulatedEndpoint {
   readonly counter = new AnswerCounter();
 
-  #ends: {
+  #inFlight: {
     readonly at: number;
     readonly route: string;
     readonly isFailure: boolean;
@@ -61,150 +61,155 @@
     readonly instance: string,
     readonly version: string,
     private readonly speed: number,
-    private readonly conduct: Conduct,
+    private readonly behaviour: VersionBehaviour,
     private readonly random: Random,
   ) {}
 
   get load(): number {
-    return this.#ends.length / SLOTS;
+    return this.#inFlight.length / SLOTS;
   }
 
-  /** Resolves to whether the answer will be bad; undefined if there is no room. */
-  begin(route: string, now: number): boolean | undefined {
-    if (this.#ends.length >= SLOTS) return undefined;
-    const { failing, slower } = this.conduct({ ageMs: now - START_MS, load: this.load, route });
-    const tookMs = (WORK_MS * slower * 2 ** (this.random.next() * 2 - 1)) / this.speed;
-    const isFailure = this.random.next() < failing;
-    this.#ends.push({ at: now + tookMs, route, isFailure, tookMs });
-    return isFailure || slower > 2;
+  /** Returns whether the answer will be bad; undefined if all slots are in use. */
+  tryStart(route: string, now: number): boolean | undefined {
+    if (this.#inFlight.length >= SLOTS) return undefined;
+    const { failureRate, slowdown } = this.behaviour({
+      ageMs: now - ENDPOINT_START_MS,
+      load: this.load,
+      route,
+    });
+    const tookMs = (WORK_MS * slowdown * 2 ** (this.random.next() * 2 - 1)) / this.speed;
+    const isFailure = this.random.next() < failureRate;
+    this.#inFlight.push({ at: now + tookMs, route, isFailure, tookMs });
+    return isFailure || slowdown > 2;
   }
 
-  pass(now: number): void {
-    for (const { at, route, isFailure, tookMs } of this.#ends) {
+  completeUntil(now: number): void {
+    for (const { at, route, isFailure, tookMs } of this.#inFlight) {
       if (at <= now) this.counter.add(route, { isFailure, tookMs });
     }
-    this.#ends = this.#ends.filter(({ at }) => at > now);
+    this.#inFlight = this.#inFlight.filter(({ at }) => at > now);
   }
 }
 
-class Trial {
+class RolloutSimulation {
   readonly #random: Random;
 
-  readonly #old: readonly Endpoint[];
+  readonly #stable: readonly SimulatedEndpoint[];
 
-  readonly #fresh: readonly Endpoint[];
+  readonly #candidate: readonly SimulatedEndpoint[];
 
-  readonly #book = new EvidenceBook();
+  readonly #evidence = new EvidenceBook();
 
-  readonly #judgement = new Judgement('v2');
+  readonly #detector = new Judgement('v2');
 
-  /** What is on its way: takes effect at its instant. */
-  #onItsWay: { readonly at: number; readonly take: () => void }[] = [];
+  /** Messages in transit; each is delivered at its instant. */
+  #inTransit: { readonly at: number; readonly deliver: () => void }[] = [];
 
-  /** As the judge has it, and as the entries do. */
-  #judged: Rollout = ORDER;
+  /** The roll-out as the detector knows it; the phase reaches the entries later. */
+  #rollout: Rollout = ORDER;
 
-  #known: RolloutPhase = 'trial';
+  #phaseAtEntries: RolloutPhase = 'trial';
 
   #phaseAt = 0;
 
-  #given = 0;
+  #candidateRequests = 0;
 
-  #asked = 0;
+  #requests = 0;
 
-  #bad = 0;
+  #badAnswers = 0;
 
-  #lastGivenAt = 0;
+  #lastCandidateRequestAt = 0;
 
-  #fiftiethAt = Infinity;
+  #badAnswerLimitAt = Infinity;
 
-  constructor(private readonly options: TrialOptions) {
+  constructor(private readonly options: RolloutOptions) {
     this.#random = new SeededRandom(options.seed);
-    const fleet = (version: string, conduct: Conduct) =>
+    const startEndpoints = (version: string, behaviour: VersionBehaviour) =>
       Array.from(
         { length: options.endpoints },
         (_, index) =>
-          new Endpoint(
+          new SimulatedEndpoint(
             `${version}-${index}`,
             version,
             SPEEDS[index % SPEEDS.length]!,
-            conduct,
+            behaviour,
             this.#random,
           ),
       );
-    this.#old = fleet('v1', () => SOUND_FATE);
-    this.#fresh = fleet('v2', options.conduct);
+    this.#stable = startEndpoints('v1', () => SOUND);
+    this.#candidate = startEndpoints('v2', options.behaviour);
   }
 
-  play(): TrialEnd {
+  run(): RolloutResult {
     let endedAt = DURATION_MS;
     for (let now = 0; now < DURATION_MS; now += TICK_MS) {
-      this.#pass(now);
-      this.#ask(now);
+      this.#advanceTo(now);
+      this.#sendRequests(now);
       this.#publish(now);
-      if (now % TRIAL_EVERY_MS === 0) this.#judge(now);
+      if (now % CANDIDATE_REPORT_MS === 0) this.#judge(now);
       if (this.#isOver(now)) {
         endedAt = Math.min(endedAt, now);
-        if (this.#judged.phase !== 'withdrawn') break;
+        if (this.#rollout.phase !== 'withdrawn') break;
       }
     }
     const rest = ((DURATION_MS - endedAt) / 1_000) * this.options.requestsPerSecond;
-    const asked = this.#judged.phase === 'withdrawn' ? this.#asked : this.#asked + rest;
+    const requests = this.#rollout.phase === 'withdrawn' ? this.#requests : this.#requests + rest;
     return {
-      phase: this.#judged.phase,
+      phase: this.#rollout.phase,
       tookMs: endedAt,
-      given: this.#given,
-      allowed: asked * ALLOWED_SHARE + ALLOWED_SLACK,
-      isTooLate: this.#lastGivenAt > this.#fiftiethAt + ROLL_BACK_MS,
+      candidateRequests: this.#candidateRequests,
+      allowedRequests: requests * ALLOWED_SHARE + ALLOWED_SLACK,
+      isTooLate: this.#lastCandidateRequestAt > this.#badAnswerLimitAt + ROLLBACK_TIMEOUT_MS,
     };
   }
 
   #isOver(now: number): boolean {
-    const { phase } = this.#judged;
-    return phase === 'withdrawn' || mayComplete(this.#judged, now - this.#phaseAt);
+    const { phase } = this.#rollout;
+    return phase === 'withdrawn' || mayComplete(this.#rollout, now - this.#phaseAt);
   }
 
-  #pass(now: number): void {
-    for (const endpoint of [...this.#old, ...this.#fresh]) endpoint.pass(now);
-    for (const { at, take } of this.#onItsWay) if (at <= now) take();
-    this.#onItsWay = this.#onItsWay.filter(({ at }) => at > now);
+  #advanceTo(now: number): void {
+    for (const endpoint of [...this.#stable, ...this.#candidate]) endpoint.completeUntil(now);
+    for (const { at, deliver } of this.#inTransit) if (at <= now) deliver();
+    this.#inTransit = this.#inTransit.filter(({ at }) => at > now);
   }
 
-  #ask(now: number): void {
+  #sendRequests(now: number): void {
     const { requestsPerSecond, endpoints } = this.options;
     const mean = (requestsPerSecond * TICK_MS) / 1_000;
     const count = Math.floor(mean) + Number(this.#random.next() < mean % 1);
-    const isOnTrial = this.#known === 'trial' || this.#known === 'proof';
-    const { share, turn } = shareOf(this.#known, ALLOWED_SHARE, now);
-    const among = countFor(share, endpoints);
+    const isOnTrial = this.#phaseAtEntries === 'trial' || this.#phaseAtEntries === 'proof';
+    const { share, turn } = shareOf(this.#phaseAtEntries, ALLOWED_SHARE, now);
+    const trialCount = countFor(share, endpoints);
     for (let one = 0; one < count; one++) {
       const route = this.#random.next() < RARE_SHARE ? 'rare' : 'usual';
-      this.#asked += 1;
-      const isGiven = now >= START_MS && isOnTrial && this.#random.next() < share;
-      const index = isGiven
-        ? turn * among + this.#random.below(among)
+      this.#requests += 1;
+      const isForCandidate = now >= ENDPOINT_START_MS && isOnTrial && this.#random.next() < share;
+      const index = isForCandidate
+        ? turn * trialCount + this.#random.below(trialCount)
         : this.#random.below(endpoints);
-      if (this.#known === 'promoting' || isGiven) this.#give(index % endpoints, route, now);
-      else this.#old[index]!.begin(route, now);
+      if (this.#phaseAtEntries === 'promoting' || isForCandidate)
+        this.#sendToCandidate(index % endpoints, route, now);
+      else this.#stable[index]!.tryStart(route, now);
     }
   }
 
-  #give(index: number, route: string, now: number): void {
-    const isBad = this.#fresh[index]!.begin(route, now);
+  #sendToCandidate(index: number, route: string, now: number): void {
+    const isBad = this.#candidate[index]!.tryStart(route, now);
     if (isBad === undefined) return;
-    this.#given += 1;
-    this.#lastGivenAt = now;
+    this.#candidateRequests += 1;
+    this.#lastCandidateRequestAt = now;
     if (!isBad) return;
-    this.#bad += 1;
-    if (this.#bad === BAD_ANSWERS) this.#fiftiethAt = now;
+    this.#badAnswers += 1;
+    if (this.#badAnswers === BAD_ANSWER_LIMIT) this.#badAnswerLimitAt = now;
   }
 
   #publish(now: number): void {
     const order = orderNameOf(ORDER);
     const { upstream } = ORDER;
     const due = [
-      ...(now % OLD_EVERY_MS === 0 ? this.#old : []),
-      ...(now % TRIAL_EVERY_MS === 0 ? this.#fresh : []),
+      ...(now % STABLE_REPORT_MS === 0 ? this.#stable : []),
+      ...(now % CANDIDATE_REPORT_MS === 0 ? this.#candidate : []),
     ];
     for (const { instance, version, counter } of due) {
       const evidence = {
@@ -215,23 +220,26 @@
         order,
         routes: counter.routes,
       };
-      this.#onItsWay.push({ at: now + EVIDENCE_WAY_MS, take: () => this.#book.merge(evidence) });
+      this.#inTransit.push({
+        at: now + EVIDENCE_DELAY_MS,
+        deliver: () => this.#evidence.merge(evidence),
+      });
     }
   }
 
   #judge(now: number): void {
-    const finding = this.#judgement.look(this.#book.of(ORDER), now);
-    const { coverage } = this.#judgement;
+    const finding = this.#detector.look(this.#evidence.of(ORDER), now);
+    const { coverage } = this.#detector;
     const sincePhaseMs = now - this.#phaseAt;
     const progress = { sinceOrderMs: now, sincePhaseMs, finding, coverage };
-    const phase = nextPhase(this.#judged, progress);
-    if (phase === undefined || this.#judged.phase === 'withdrawn') return;
-    this.#judged = { ...this.#judged, phase };
+    const phase = nextPhase(this.#rollout, progress);
+    if (phase === undefined || this.#rollout.phase === 'withdrawn') return;
+    this.#rollout = { ...this.#rollout, phase };
     this.#phaseAt = now;
-    this.#onItsWay.push({
-      at: now + VERDICT_WAY_MS,
-      take: () => {
-        this.#known = phase;
+    this.#inTransit.push({
+      at: now + VERDICT_DELAY_MS,
+      deliver: () => {
+        this.#phaseAtEntries = phase;
       },
     });
   }
@@ -248,6 +256,6 @@
   isDeleted: false,
 };
 
-export function trialRun(options: TrialOptions): TrialEnd {
-  return new Trial(options).play();
+export function simulateRollout(options: RolloutOptions): RolloutResult {
+  return new RolloutSimulation(options).run();
 }
--- a/src/bench/side_by_side.ts
+++ b/src/bench/side_by_side.ts
@@ -1,28 +1,33 @@
-/** Ours and the baseline in the same run, one after the other, at the users' size. */
+/** Measures the daemon and the baseline in the same run, one after the other. */
 import { type Clock } from '../runtime/clock.js';
-import { Baseline, type Deployment, type DeploymentOptions, Ours } from './deployment.js';
+import {
+  BaselineDeployment,
+  type Deployment,
+  type DeploymentOptions,
+  DaemonDeployment,
+} from './deployment.js';
 import { type Options } from './experiment.js';
 
-/** Services of the design size, each with its upstream, limit and routes. */
+/** Number of services at the design size, each with an upstream, a limit and routes. */
 export const SERVICES = 110;
 const DATA_CENTRES = 5;
 
-/** Measures a deployment of each kind; each is gone before the other one starts. */
-export async function sideBySide<T>(
+/** Measures a deployment of each kind; the first is stopped before the second starts. */
+export async function compareWithBaseline<T>(
   clock: Clock,
   { processes, progress }: Options,
   profile: DeploymentOptions['profile'],
-  measure: (deployment: Ours | Baseline) => Promise<T>,
-): Promise<{ own: T; theirs: T }> {
+  measure: (deployment: DaemonDeployment | BaselineDeployment) => Promise<T>,
+): Promise<{ daemons: T; baseline: T }> {
   const shape = { processes, dataCentres: DATA_CENTRES, profile, services: SERVICES };
   progress(`starting ${processes} daemons`);
-  const own = await measured(new Ours(shape, clock), measure);
-  progress(`starting ${processes} proxies of the baseline`);
-  const theirs = await measured(new Baseline(shape, clock), measure);
-  return { own, theirs };
+  const daemons = await openAndMeasure(new DaemonDeployment(shape, clock), measure);
+  progress(`starting ${processes} baseline proxies`);
+  const baseline = await openAndMeasure(new BaselineDeployment(shape, clock), measure);
+  return { daemons, baseline };
 }
 
-async function measured<D extends Deployment, T>(
+async function openAndMeasure<D extends Deployment, T>(
   opened: D,
   measure: (deployment: D) => Promise<T>,
 ): Promise<T> {
--- a/src/bench/stolen_time.ts
+++ b/src/bench/stolen_time.ts
@@ -1,32 +1,32 @@
-/** How much processor time a machine's host kept for others while an experiment ran. */
+/** Share of CPU time that the hypervisor gave to other virtual machines during an experiment. */
 import { readFile } from 'node:fs/promises';
 import { rounded } from './experiment.js';
 
-const STOLEN_FIELD = 7;
+const STEAL_FIELD = 7;
 
 interface Ticks {
-  readonly all: number;
-  readonly stolen: number;
+  readonly total: number;
+  readonly steal: number;
 }
 
-/** Latencies of a run with much stolen time say more about the host than about the code. */
-export class StolenTime {
+/** Latencies measured with much steal time say more about the host than about the code. */
+export class StealTime {
   private constructor(private readonly before: Ticks) {}
 
-  static async begin(): Promise<StolenTime> {
-    return new StolenTime(await ticks());
+  static async begin(): Promise<StealTime> {
+    return new StealTime(await readTicks());
   }
 
-  /** Share since the beginning, of all processors' time. */
+  /** Percentage of the time of all CPUs since the start of the measurement. */
   async percent(): Promise<number> {
-    const after = await ticks();
-    const all = after.all - this.before.all;
-    return all === 0 ? 0 : rounded(((after.stolen - this.before.stolen) / all) * 100);
+    const after = await readTicks();
+    const all = after.total - this.before.total;
+    return all === 0 ? 0 : rounded(((after.steal - this.before.steal) / all) * 100);
   }
 }
 
-async function ticks(): Promise<Ticks> {
+async function readTicks(): Promise<Ticks> {
   const [line = ''] = (await readFile('/proc/stat', 'utf8')).split('\n');
   const fields = line.trim().split(/\s+/).slice(1).map(Number);
-  return { all: fields.reduce((sum, value) => sum + value, 0), stolen: fields[STOLEN_FIELD] ?? 0 };
+  return { total: fields.reduce((sum, value) => sum + value, 0), steal: fields[STEAL_FIELD] ?? 0 };
 }
--- a/src/bench/upstream_main.ts
+++ b/src/bench/upstream_main.ts
@@ -1,7 +1,7 @@
 /**
- * An upstream instance as a process. Settings: upstream, operators' port of the process beside it
- * or 0, slots, and the time an answer takes in milliseconds. Its control port tells what it ran
- * and changes its state.
+ * Runs an upstream instance as a process. Arguments: name of the upstream, operators' port of the
+ * daemon to announce it to or 0, slots, and the time an answer takes in milliseconds. Its control
+ * port returns how often each request was run; a path such as `/draining` sets the endpoint state.
  */
 import { createServer } from 'node:http';
 import { EndpointState } from '../contracts.js';
--- a/src/test/bench/replay_test.ts
+++ b/src/test/bench/replay_test.ts
@@ -1,92 +1,87 @@
 import { expect } from 'chai';
 import { type Pattern, readPattern } from '../../bench/replay/pattern.js';
-import { Former, Ours, Simple } from '../../bench/replay/policy.js';
+import { FormerPolicy, CurrentPolicy, SimplePolicy } from '../../bench/replay/policy.js';
 import { replay } from '../../bench/replay/replay.js';
 
-/** What is better elsewhere may cost a deployment so much worth at most: the users' bound. */
-const FALL = 0.03;
+/** Largest loss of worth accepted by the users where another policy does better. */
+const MAX_WORTH_LOSS = 0.03;
 const SEEDS: readonly number[] = [1, 2, 3];
-/** Of all requests, so many may be served late where nothing is out of order. */
-const LATE_SHARE = 0.01;
-/** Of what the links carry, so much has to arrive in time: answers vary in size. */
-const CARRIED_SHARE = 0.9;
+/** Largest share of all requests that may be answered late while no fault occurs. */
+const MAX_LATE_SHARE = 0.01;
+/** Smallest share of the links' capacity that has to be delivered in time; answers vary in size. */
+const MIN_DELIVERED_SHARE = 0.9;
 const patternOf = (name: string) => readPattern(`bench/patterns/${name}.json`);
 
 describe('replay', function replays() {
   this.timeout(60_000);
 
-  // More lookups come for half a minute than there are slots for. Who is refused comes back, late
-  // already, and says only how much longer it waits. Taken for new it would get the slot of one who
-  // can still be answered in time; the same slots then serve fewer in time, on every seed.
-  it('serves more in time under sustained overload than the former rules', async () => {
+  // A refused caller who returns is already late. Treated as new, it takes the slot of a caller who
+  // can still be answered in time, and the same slots then serve fewer callers in time.
+  it('answers more requests in time under sustained overload than the former policy', async () => {
     const pattern = await patternOf('sustained_overload');
     for (const seed of SEEDS) {
-      const ours = await replay(pattern, new Ours(), seed);
-      const former = await replay(pattern, new Former(), seed);
-      expect(ours.inTarget, `seed ${seed}`).to.be.greaterThan(former.inTarget);
-      expect(ours.worth, `seed ${seed}`).to.be.greaterThan(former.worth);
+      const current = await replay(pattern, new CurrentPolicy(), seed);
+      const former = await replay(pattern, new FormerPolicy(), seed);
+      expect(current.inTarget, `seed ${seed}`).to.be.greaterThan(former.inTarget);
+      expect(current.worth, `seed ${seed}`).to.be.greaterThan(former.worth);
     }
   });
 
-  // Half of all callers move to the data centre with the fewest slots. Lookups go to the others;
-  // a download weighs sixty times as much and waits for a slot nearby as long as it can.
-  it('lets fewer bytes cross when callers move, and serves them as well', async () => {
+  // When callers move to the data centre with the fewest slots, small lookups should go to the
+  // others; downloads, sixty times as large, should wait for a local slot as long as they can.
+  it('sends fewer bytes between data centres when callers move, without serving them worse', async () => {
     const pattern = await patternOf('shift');
     for (const seed of SEEDS) {
-      const ours = await replay(pattern, new Ours(), seed);
-      const former = await replay(pattern, new Former(), seed);
-      expect(ours.crossedMb, `seed ${seed}`).to.be.lessThan(former.crossedMb);
-      expect(ours.worth, `seed ${seed}`).to.be.at.least(former.worth - FALL);
+      const current = await replay(pattern, new CurrentPolicy(), seed);
+      const former = await replay(pattern, new FormerPolicy(), seed);
+      expect(current.crossedMb, `seed ${seed}`).to.be.lessThan(former.crossedMb);
+      expect(current.worth, `seed ${seed}`).to.be.at.least(former.worth - MAX_WORTH_LOSS);
     }
   });
 
-  // Callers ask for half as many downloads again as the links of three instances carry. Slots were
-  // free, so all were let in: admission knew nothing of bytes. They piled up on the links, the short
-  // answers of the same processes stood behind them, and bookings failed whose calls had been
-  // answered in a tenth of a second. With links: bookings earned 0.302, downloads 0.198 of their
-  // worth (seed 1); without, with the same slots, 0.97 and more of bookings.
-  it('lets downloads that a link does not carry harm nobody else', async () => {
+  // Admission by slots alone accepts more downloads than the links carry: they queue on the links and
+  // delay the short answers of the same processes, so that bookings fail.
+  it('keeps other answers in time when downloads exceed the capacity of the links', async () => {
     const pattern = await patternOf('narrow_links');
-    const perMs = sum(pattern.upstreams.flatMap(({ instances }) => instances).map(bytesPerMs));
-    const carriedBytes = perMs * pattern.seconds * 1_000;
+    const perMs = sum(pattern.upstreams.flatMap(({ instances }) => instances).map(linkBytesPerMs));
+    const linkCapacityBytes = perMs * pattern.seconds * 1_000;
     const { answerBytes } = pattern.kinds.find(({ name }) => name === 'pack')!;
     for (const seed of SEEDS) {
-      const narrow = await replay(pattern, new Ours(), seed);
-      const wide = await replay(withoutLinks(pattern), new Ours(), seed);
+      const narrow = await replay(pattern, new CurrentPolicy(), seed);
+      const wide = await replay(withoutLinks(pattern), new CurrentPolicy(), seed);
       const { confirm = 0, pack = 0 } = narrow.worthByKind;
-      const carried = carriedBytes / (narrow.owedByKind.pack! * answerBytes);
-      expect(confirm, `seed ${seed}`).to.be.at.least(wide.worthByKind.confirm! - FALL);
-      expect(pack, `seed ${seed}`).to.be.at.least(carried * CARRIED_SHARE);
+      const deliverable = linkCapacityBytes / (narrow.owedByKind.pack! * answerBytes);
+      expect(confirm, `seed ${seed}`).to.be.at.least(wide.worthByKind.confirm! - MAX_WORTH_LOSS);
+      expect(pack, `seed ${seed}`).to.be.at.least(deliverable * MIN_DELIVERED_SHARE);
     }
   });
 
-  // Downloads differ in size, and more come than the links carry. The line for the link was as long
-  // as the target of an answer of usual size: whatever came after a large one was late, seven in
-  // a hundred of all requests, and on a deployment two thirds of the downloads served.
-  it('begins hardly any download that comes late, however they vary in size', async () => {
+  // If the queue for the link is as long as the target allows for an answer of usual size, every
+  // answer behind a large one is late.
+  it('starts few downloads that would be late, although they vary in size', async () => {
     const pattern = await patternOf('varied_answers');
     for (const seed of SEEDS) {
-      const { late } = await replay(pattern, new Ours(), seed);
-      expect(late, `seed ${seed}`).to.be.at.most(LATE_SHARE);
+      const { late } = await replay(pattern, new CurrentPolicy(), seed);
+      expect(late, `seed ${seed}`).to.be.at.most(MAX_LATE_SHARE);
     }
   });
 
-  // In order of arrival everybody is served just too late, also after the burst has gone.
-  it('recovers from a burst that order of arrival does not recover from', async () => {
+  // With a FIFO queue every caller is served just too late, even after the burst has ended.
+  it('recovers from a burst from which a FIFO queue does not recover', async () => {
     const pattern = await patternOf('burst');
-    const ours = await replay(pattern, new Ours(), 1);
-    const simple = await replay(pattern, new Simple(), 1);
-    expect(ours.worth).to.be.greaterThan(simple.worth);
-    expect(ours.worstWindow).to.be.greaterThan(simple.worstWindow);
+    const current = await replay(pattern, new CurrentPolicy(), 1);
+    const simple = await replay(pattern, new SimplePolicy(), 1);
+    expect(current.worth).to.be.greaterThan(simple.worth);
+    expect(current.worstWindow).to.be.greaterThan(simple.worstWindow);
   });
 
-  it('plays the same run for the same seed', async () => {
+  it('gives the same result for the same seed', async () => {
     const pattern = await patternOf('cut');
-    const first = await replay(pattern, new Ours(), 5);
-    expect(await replay(pattern, new Ours(), 5)).to.deep.equal(first);
+    const first = await replay(pattern, new CurrentPolicy(), 5);
+    expect(await replay(pattern, new CurrentPolicy(), 5)).to.deep.equal(first);
   });
 
-  it('says what is wrong with a pattern', async () => {
+  it('reports the file and the field of an error in a pattern', async () => {
     const failure = await readPattern('package.json').catch((error: Error) => error.message);
     expect(failure).to.match(/^package\.json: .*upstreams/s);
   });
@@ -94,7 +89,7 @@
 
 type Instance = Pattern['upstreams'][number]['instances'][number];
 
-function bytesPerMs({ linkKbps = 0 }: Instance): number {
+function linkBytesPerMs({ linkKbps = 0 }: Instance): number {
   return linkKbps / 8;
 }
 
@@ -102,7 +97,7 @@
   return values.reduce((total, value) => total + value, 0);
 }
 
-/** The same callers and instances, with links that carry anything. */
+/** The same callers and instances, with links of unlimited bandwidth. */
 function withoutLinks(pattern: Pattern): Pattern {
   const wide = (instance: Instance) => ({ ...instance, linkKbps: undefined });
   const upstreams = pattern.upstreams.map((upstream) => ({
