--- a/deploy/build.mjs
+++ b/deploy/build.mjs
@@ -1,5 +1,5 @@
-// Builds what runs, by one tool for one target: `node deploy/build.mjs` the process for the operators'
-// platform into target/, `node deploy/build.mjs dist` the programs of the npm package into dist/.
+// Builds all programs with esbuild for Node 20. `node deploy/build.mjs` builds the process for the
+// operators' platform into target/; with the argument `dist`, the npm package's programs into dist/.
 import { spawn } from 'node:child_process';
 import { once } from 'node:events';
 import { readFile, rm } from 'node:fs/promises';
@@ -13,8 +13,9 @@
   legalComments: 'none',
 };
 
-// One file with its packages: importing modules one by one would cost each start a good part of a
-// second of processor time. Lines are kept short, or a stack would show all of the file.
+// A single bundle including its dependencies: importing modules one by one would cost each start a
+// good part of a second of CPU time. Node prints the source line of an uncaught error, which would
+// be the whole bundle without `lineLimit`.
 const PLATFORM = {
   ...COMMON,
   format: 'cjs',
@@ -25,7 +26,7 @@
   sourcemap: 'external',
 };
 
-// Loads that file with what V8 has compiled of it ahead.
+// Loads the bundle with its V8 code cache.
 const STARTER = {
   ...COMMON,
   format: 'cjs',
@@ -33,6 +34,7 @@
   outfile: 'target/start.cjs',
 };
 
+// Runs the bundle under load to fill its V8 code cache.
 const REHEARSAL = {
   ...COMMON,
   format: 'cjs',
@@ -40,28 +42,30 @@
   outfile: 'target/rehearse.cjs',
 };
 
-/** After so long a rehearsal is given up, in milliseconds. */
-const REHEARSAL_MS = 60_000;
+const REHEARSAL_TIMEOUT_MS = 60_000;
 
-/** With the flags of the deploy file: V8 takes only what was compiled with the same. */
-async function rehearse() {
+/** Uses the Node flags of the deploy file: V8 rejects a code cache made with other flags. */
+async function writeCodeCache() {
   const file = await readFile('deploy/system.toml', 'utf8');
   const [, flags = ''] = /^run = "node (.*) target\/start\.cjs"$/m.exec(file) ?? [];
-  const words = [...flags.split(' '), 'target/rehearse.cjs'];
-  // Its processes write their lines to standard output; nobody needs them.
+  const args = [...flags.split(' '), 'target/rehearse.cjs'];
+  // The log lines of its processes, on standard output, are not needed.
   const stdio = ['ignore', 'ignore', 'inherit'];
-  const rehearsing = spawn(process.execPath, words, { stdio, timeout: REHEARSAL_MS });
-  const [code] = await once(rehearsing, 'exit');
-  if (code !== 0) console.error('not rehearsed: processes will start from the source');
+  const rehearsal = spawn(process.execPath, args, { stdio, timeout: REHEARSAL_TIMEOUT_MS });
+  const [code] = await once(rehearsal, 'exit');
+  if (code !== 0)
+    console.error(
+      `code cache not written (exit code ${code}): processes will compile the bundle at start`,
+    );
 }
 
 const PROGRAMS = ['barleyhavend', 'barleyhaven', 'index', 'bench/main', 'bench/demo'];
-// Each runs in a process of its own, started by name.
-const BENCH = ['platform_main', 'baseline_main', 'plain_proxy_main', 'upstream_main'];
+// The benchmarks start these by name as child processes.
+const BENCH_PROGRAMS = ['platform_main', 'baseline_main', 'plain_proxy_main', 'upstream_main'];
 
 const PACKAGE = {
   ...COMMON,
-  entryPoints: [...PROGRAMS, ...BENCH.map((name) => `bench/${name}`)].map(
+  entryPoints: [...PROGRAMS, ...BENCH_PROGRAMS.map((name) => `bench/${name}`)].map(
     (name) => `src/${name}.ts`,
   ),
   outbase: 'src',
@@ -79,5 +83,5 @@
 } else {
   await rm('target/barleyhavend.cjs.cache', { force: true });
   await Promise.all([PLATFORM, STARTER, REHEARSAL].map(build));
-  await rehearse();
+  await writeCodeCache();
 }
--- a/eslint.config.js
+++ b/eslint.config.js
@@ -13,19 +13,19 @@
   prettier,
   {
     rules: {
-      // House style: explicit .js import paths, as Node's ESM needs them.
+      // Node's ESM loader needs explicit .js import paths.
       'import-x/extensions': ['error', 'ignorePackages', { ts: 'never', js: 'always' }],
-      // One concept per file with named exports; entry files re-export by name.
+      // Modules use named exports only.
       'import-x/prefer-default-export': 'off',
-      // House style: one task per connection, written straight down, so it awaits in loops.
+      // Tasks such as the one of a connection run sequentially and await in loops.
       'no-await-in-loop': 'off',
-      // The programs of the package are started by name.
+      // These are the executables of the package.
       'n/hashbang': [
         'error',
         { additionalExecutables: ['src/barleyhaven.ts', 'src/barleyhavend.ts'] },
       ],
-      // Loops are fine. A class that makes one of its own in a static field is not: compilers that
-      // alias its name there end the program as it starts.
+      // Replaces the preset's ban on loops. A class must not instantiate itself in a static field:
+      // compilers that alias the class name there make the program fail at start.
       'no-restricted-syntax': [
         'error',
         {
@@ -33,21 +33,21 @@
           message: 'Put the value below the class and read it by a static getter.',
         },
       ],
-      // A task's loop ends by its signal or by return.
+      // The loop of a task ends by its abort signal or by `return`.
       'no-constant-condition': ['error', { checkLoops: false }],
       'no-continue': 'off',
-      // Abstract classes with trivial stand-in methods do not all need `this`.
+      // Trivial methods of subclasses and stand-ins need no `this`.
       'class-methods-use-this': 'off',
-      // A task that is owned elsewhere is started with `void`.
+      // `void` marks a promise that is deliberately not awaited.
       'no-void': 'off',
-      // Objects that mirror the world, such as a peer, change what they hold of another.
+      // State objects, such as a peer, are updated through parameters.
       'no-param-reassign': ['error', { props: false }],
-      // Counters are the hot path.
+      // Counters are incremented on the hot path.
       'no-plusplus': 'off',
       'no-bitwise': 'off',
-      // Small error classes stand beside the one function that throws them.
+      // Small helper classes stay beside the code that uses them.
       'max-classes-per-file': 'off',
-      // Types are hoisted; helpers live below their one user.
+      // Types are hoisted; helper functions follow the function that uses them.
       'no-use-before-define': 'off',
       '@typescript-eslint/no-use-before-define': 'off',
       // A schema and the type inferred from it share one name.
@@ -66,7 +66,7 @@
     files: ['src/bench/**', 'deploy/**'],
     rules: {
       'import-x/no-extraneous-dependencies': 'off',
-      // The bench prints its results.
+      // Benchmarks and the build print to the console.
       'no-console': 'off',
     },
   },
