--- a/src/bench/claims.ts
+++ b/src/bench/claims.ts
@@ -35,7 +35,7 @@
 /** One way of storing claims. */
 interface Strategy {
   readonly name: string;
-  readonly batching?: Gathering;
+  readonly batching?: BatchOptions;
   /** Whether all requests of a key range reach the same process. */
   readonly isRoutedByKey: boolean;
 }
--- a/src/bench/deployment.ts
+++ b/src/bench/deployment.ts
@@ -41,7 +41,7 @@
 export abstract class Deployment implements AsyncDisposable {
   readonly proxies: Proxy[] = [];
 
-  protected readonly resources = new Ownership();
+  protected readonly resources = new ResourceStack();
 
   platform!: Program;
 
@@ -158,7 +158,7 @@
     const configuration = Configuration.of(number, digest, resources);
     return {
       number,
-      isDigestValid: configuration.matches(parent),
+      isDigestValid: configuration.matchesDigest(parent),
       isConfigurationValid: validate(configuration).length === 0,
     };
   }
--- a/src/bench/fleet.ts
+++ b/src/bench/fleet.ts
@@ -30,11 +30,11 @@
   private constructor(
     readonly platform: PlatformServer,
     private readonly clock: Clock,
-    private readonly resources: Ownership,
+    private readonly resources: ResourceStack,
   ) {}
 
   static async start(clock: Clock, options: FleetOptions): Promise<Fleet> {
-    const resources = new Ownership();
+    const resources = new ResourceStack();
     const platform = resources.use(await PlatformServer.start(clock));
     const fleet = new Fleet(platform, clock, resources);
     for (const dataCentre of options.dataCentres) {
--- a/src/bench/mesh_fleet.ts
+++ b/src/bench/mesh_fleet.ts
@@ -42,7 +42,7 @@
 
   readonly programs: Program[] = [];
 
-  readonly #resources = new Ownership();
+  readonly #resources = new ResourceStack();
 
   #store!: PlatformServer;
 
--- a/src/bench/replay/policy.ts
+++ b/src/bench/replay/policy.ts
@@ -52,7 +52,7 @@
   }
 
   limiter(clock: Clock, slots: number): Limiter {
-    const limit = new Limit(clock, slots);
+    const limit = new ConcurrencyLimiter(clock, slots);
     limit.restart(true);
     return limit;
   }
@@ -70,11 +70,11 @@
     return new FormerBalancer(roster, clock, random);
   }
 
-  override returns(): Returns {
+  override returns(): ReturningCallers {
     return new NoReturningCallers();
   }
 
-  override weights(): Weights {
+  override weights(): AnswerSizes {
     return new NoAnswerSizes();
   }
 
@@ -95,7 +95,7 @@
     return new FifoLimiter(clock, slots);
   }
 
-  override returns(): Returns {
+  override returns(): ReturningCallers {
     return new NoReturningCallers();
   }
 
@@ -122,13 +122,13 @@
   }
 }
 
-class NoReturningCallers extends Returns {
+class NoReturningCallers extends ReturningCallers {
   override firstAt(_: unknown, now: number): number {
     return now;
   }
 }
 
-class NoAnswerSizes extends Weights {
+class NoAnswerSizes extends AnswerSizes {
   override awayMs(): number {
     return 0;
   }
--- a/src/bench/replay/station.ts
+++ b/src/bench/replay/station.ts
@@ -39,9 +39,9 @@
 
   #balancer!: Balancer;
 
-  #returningCallers!: Returns;
+  #returningCallers!: ReturningCallers;
 
-  #entryAnswerSizes!: Weights;
+  #entryAnswerSizes!: AnswerSizes;
 
   #retryBudgets!: RetryBudgets;
 
@@ -52,7 +52,7 @@
   #uplink!: Uplink;
 
   /** Answer sizes by kind, as the guard measures them. */
-  #guardAnswerSizes!: Weights;
+  #guardAnswerSizes!: AnswerSizes;
 
   constructor(
     readonly member: Member,
@@ -87,27 +87,27 @@
     try {
       await this.#callWithRetries(kind, this.#routedRequest(kind, deadline, targetAt));
     } catch (error) {
-      this.#returningCallers.turnedAway(caller, firstAt);
-      throw withReturnTime(asOutcome(error), this.clock.now(), this.random);
+      this.#returningCallers.recordRefusal(caller, firstAt);
+      throw withRetryTime(asOutcome(error), this.clock.now(), this.random);
     }
   }
 
   /** Handles a request as the guard does; resolves to whether the instance succeeded. */
-  async handleAsGuard(kind: Kind, ticket: Ticket): Promise<boolean> {
+  async handleAsGuard(kind: Kind, ticket: Job): Promise<boolean> {
     this.#resetAfterRestart(this.simulation.schedule.restartCount(this.clock.now()));
-    const bytes = this.#guardAnswerSizes.heavyBytes(kind.name);
+    const bytes = this.#guardAnswerSizes.largeAnswerBytes(kind.name);
     const heldMs = this.#limiter.heldMsOf(kind.name);
     const { targetAt = ticket.deadline, deadline } = ticket;
     using departure =
       bytes > 0 ? this.#uplink.admit({ bytes, heldMs, targetAt, deadline }) : undefined;
     let isSuccess = true;
-    await this.#limiter.run(ticket, async (): Promise<Outcome> => {
+    await this.#limiter.run(ticket, async (): Promise<JobResult> => {
       const startedAt = this.clock.now();
       isSuccess = await this.#execute(kind, ticket.deadline);
       return { headMs: this.clock.now() - startedAt, isShed: false };
     });
     const answerBytes = this.#drawAnswerBytes(kind);
-    this.#guardAnswerSizes.learn(kind.name, answerBytes);
+    this.#guardAnswerSizes.record(kind.name, answerBytes);
     departure?.resize(answerBytes);
     await this.#sendAnswer(answerBytes, deadline, departure);
     return isSuccess;
@@ -126,13 +126,13 @@
   async #sendAnswer(
     bytes: number,
     deadline: number,
-    departure: Departure | undefined,
+    departure: Reservation | undefined,
   ): Promise<void> {
-    if (!departure) this.#uplink.passed(bytes);
+    if (!departure) this.#uplink.recordSent(bytes);
     const pieceBytes = departure ? PIECE_BYTES : bytes;
     for (let left = bytes; left > 0; left -= pieceBytes) {
       const piece = Math.min(left, pieceBytes);
-      await departure?.turn(piece);
+      await departure?.waitForTurn(piece);
       const hasLeft = await this.#link.send(piece, deadline);
       if (!hasLeft) throw deadlineExceeded();
     }
@@ -149,12 +149,12 @@
     this.#balancer = policy.balancer(roster, clock, random);
     this.#returningCallers = policy.returns();
     this.#entryAnswerSizes = policy.weights();
-    this.#guardAnswerSizes = new Weights();
+    this.#guardAnswerSizes = new AnswerSizes();
     this.#uplink = policy.uplink(clock, this.linkKbps);
     this.#retryBudgets = new RetryBudgets(clock, random);
   }
 
-  async #callWithRetries(kind: Kind, request: Journey): Promise<void> {
+  async #callWithRetries(kind: Kind, request: RoutedRequest): Promise<void> {
     const body = new EmptyBody();
     const attempts = new Attempts(request, body, this.#balancer, this.#retryBudgets, this.clock);
     let endpoint = attempts.first();
@@ -183,9 +183,9 @@
       const ticket = { priority, kind: name, targetAt, deadline, limit: undefined, onGone };
       const isSuccess = await node.handleAsGuard(kind, ticket);
       const tookMs = this.clock.now() - startedAt;
-      this.#balancer.answered(endpoint, tookMs, node.load, !isSuccess);
+      this.#balancer.recordAnswer(endpoint, tookMs, node.load, !isSuccess);
       this.#retryBudgets.of(upstream).credit(RETRY_PERCENT);
-      this.#entryAnswerSizes.learn(name, kind.answerBytes);
+      this.#entryAnswerSizes.record(name, kind.answerBytes);
       this.simulation.recordTransfer(this, node, kind.answerBytes);
       if (!isSuccess)
         throw new OutcomeError('the upstream instance failed', {
@@ -197,7 +197,7 @@
       const outcome = asOutcome(error);
       if (outcome.verdict === 'ran') throw outcome;
       const isHeard = outcome.reason !== 'unreachable';
-      this.#balancer.refused(endpoint, outcome, isHeard ? node.load : undefined);
+      this.#balancer.recordRefusal(endpoint, outcome, isHeard ? node.load : undefined);
       return outcome;
     } finally {
       endpoint.inFlight -= 1;
@@ -244,7 +244,7 @@
   }
 
   /** A routed request with only the fields that the decisions read. */
-  #routedRequest(kind: Kind, deadline: number, targetAt: number): Journey {
+  #routedRequest(kind: Kind, deadline: number, targetAt: number): RoutedRequest {
     const { name, upstream, isRepeatable } = kind;
     const response = {
       headersSent: false,
--- a/src/bench/rollouts/trial_run.ts
+++ b/src/bench/rollouts/trial_run.ts
@@ -98,9 +98,9 @@
 
   readonly #candidate: readonly SimulatedEndpoint[];
 
-  readonly #evidence = new EvidenceBook();
+  readonly #evidence = new EvidenceStore();
 
-  readonly #detector = new Judgement('v2');
+  readonly #detector = new RegressionDetector('v2');
 
   /** Messages in transit; each is delivered at its instant. */
   #inTransit: { readonly at: number; readonly deliver: () => void }[] = [];
@@ -179,8 +179,8 @@
     const mean = (requestsPerSecond * TICK_MS) / 1_000;
     const count = Math.floor(mean) + Number(this.#random.next() < mean % 1);
     const isOnTrial = this.#phaseAtEntries === 'trial' || this.#phaseAtEntries === 'proof';
-    const { share, turn } = shareOf(this.#phaseAtEntries, ALLOWED_SHARE, now);
-    const trialCount = countFor(share, endpoints);
+    const { share, turn } = phaseShare(this.#phaseAtEntries, ALLOWED_SHARE, now);
+    const trialCount = trialEndpointCount(share, endpoints);
     for (let one = 0; one < count; one++) {
       const route = this.#random.next() < RARE_SHARE ? 'rare' : 'usual';
       this.#requests += 1;
--- a/src/standins/platform_store.ts
+++ b/src/standins/platform_store.ts
@@ -63,7 +63,7 @@
   #revision = 0;
 
   /** The most recent changes, oldest first. */
-  #history: Changed[] = [];
+  #history: ObjectChange[] = [];
 
   /** Revision up to which the history has been dropped. */
   #droppedUpTo = 0;
@@ -243,7 +243,7 @@
     this.#recordChange({ object, isDeleted: true });
   }
 
-  #recordChange(changed: Changed): void {
+  #recordChange(changed: ObjectChange): void {
     this.#history.push(changed);
     if (this.#history.length > MAX_HISTORY_LENGTH)
       this.#droppedUpTo = this.#history.shift()!.object.revision;
@@ -252,7 +252,7 @@
     }
   }
 
-  #select(range: Range): Stored[] {
+  #select(range: KeyRange): Stored[] {
     this.#sortedKeys ??= [...this.#values.keys()].sort();
     const { prefix, after, limit = Infinity } = range;
     const found: Stored[] = [];
--- a/src/tool/render_status.ts
+++ b/src/tool/render_status.ts
@@ -1,5 +1,5 @@
 /** Renders the output of `status`: the latest versions, which processes hold them, and roll-outs. */
-import { type Rollout, type Standing, type Status, type Survey } from '../contracts.js';
+import { type Rollout, type AcceptedVersion, type Status, type Survey } from '../contracts.js';
 import { formatInstant } from './render_audit.js';
 import { table } from './table.js';
 
