--- a/src/admission/uplink.ts
+++ b/src/admission/uplink.ts
@@ -51,8 +51,8 @@
  *
  * @example
  * ```ts
- * using departure = uplink.admit(heavy); // throws the refusal if it would leave too late
- * await departure.turn(piece.length);
+ * using reservation = uplink.admit(heavy); // throws the refusal if it would leave too late
+ * await reservation.waitForTurn(piece.length);
  * response.write(piece);
  * ```
  */
--- a/src/daemon/control.ts
+++ b/src/daemon/control.ts
@@ -145,7 +145,7 @@
       random,
       pace,
     );
-    const confirmation = new HeadLookup(
+    const headLookup = new HeadLookup(
       this.reader,
       this.mesh,
       this.roster,
@@ -157,7 +157,7 @@
       self,
       replica,
       this.reader,
-      confirmation,
+      headLookup,
       this.mesh,
       this.ranking,
       clock,
@@ -223,13 +223,13 @@
    */
   async #runReader(signal: AbortSignal): Promise<void> {
     const { clock, random } = this.dependencies;
-    const { joinTimeoutMs: acquaintMs, rosterWaitMs: rosterMs, isEager } = this.#pace;
-    const deadline = clock.now() + acquaintMs + random.jitter(acquaintMs);
+    const { joinTimeoutMs, rosterWaitMs, isEager } = this.#pace;
+    const deadline = clock.now() + joinTimeoutMs + random.jitter(joinTimeoutMs);
     const linked = new AbortController();
     this.mesh.onOpen(() => linked.abort());
     if (!isEager) {
       await clock.sleepUntil(deadline, AbortSignal.any([signal, linked.signal]));
-      await clock.sleepUntil(clock.now() + rosterMs, signal);
+      await clock.sleepUntil(clock.now() + rosterWaitMs, signal);
     }
     await Promise.all([this.reader.run(signal), this.readiness.run(signal)]);
   }
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -48,7 +48,7 @@
   readonly clock: Clock;
   readonly random: Random;
   readonly codec: Codec;
-  /** Headers that callers and the upstream instance use; `OWN_DIALECT` if absent. */
+  /** Headers that callers and the upstream instance use; `DEFAULT_DIALECT` if absent. */
   readonly dialect?: Dialect;
   /** Creates the source of configuration versions; the log of release notes if absent. */
   readonly feed?: (replica: Replica) => Feed;
@@ -145,9 +145,9 @@
       clock,
       random,
       dialect,
-      this.#retries(),
+      this.#retrySettings(),
       ports.uplink,
-      ports.presence,
+      ports.disconnectCheck,
     );
     const { mesh, methods, ranking } = this.control;
     const takesKeys = dialect?.takesKeys ?? true;
@@ -183,9 +183,9 @@
   static async start(settings: Settings, dependencies: InstanceDependencies): Promise<Instance> {
     const { clock, dialect } = dependencies;
     const uplink = new Uplink(clock, settings.uplinkKbps);
-    const presence = new DisconnectCheck(clock);
-    const guard = new Guard(clock, dialect, uplink, presence);
-    const ports = { guard, uplink, presence, link: createServer() };
+    const disconnectCheck = new DisconnectCheck(clock);
+    const guard = new Guard(clock, dialect, uplink, disconnectCheck);
+    const ports = { guard, uplink, disconnectCheck, link: createServer() };
     const { host } = settings;
     const linkPort = await bind(ports.link, host, settings.linkPort);
     const guardPort = await bind(ports.guard.server, host, settings.guardPort);
@@ -292,11 +292,8 @@
     const path = this.replica.current.find('upstream', upstreamName)?.healthPath;
     if (path === undefined) return;
     const { endpointLease } = this.control;
-    const { identity, refusesWork: isDeclined } = await probeUpstream(
-      { ...upstreamAddress, path },
-      dialect,
-    );
-    if (isDeclined) endpointLease.requireConfirmation();
+    const { identity, refusesWork } = await probeUpstream({ ...upstreamAddress, path }, dialect);
+    if (refusesWork) endpointLease.requireConfirmation();
     if (!identity || endpointLease.isKnown) return;
     endpointLease.renew({
       upstream: upstreamName,
@@ -327,7 +324,7 @@
     return new Rollouts(parts);
   }
 
-  #retries(): RetrySettings {
+  #retrySettings(): RetrySettings {
     const { retryPercent, retrySlack, retryWindowMs } = this.settings;
     if (retrySlack === undefined) return { ...DEFAULT_RETRY_SETTINGS, percent: retryPercent };
     // Lost members count, too: in a partition each side would otherwise use the whole allowance.
@@ -358,7 +355,7 @@
   /** The network link that carries the responses of entry and guard. */
   readonly uplink: Uplink;
   /** Shared, so that entry and guard check their callers in the same turns of the event loop. */
-  readonly presence: DisconnectCheck;
+  readonly disconnectCheck: DisconnectCheck;
   readonly link: Server;
 }
 
--- a/src/daemon/operator_methods.ts
+++ b/src/daemon/operator_methods.ts
@@ -38,9 +38,9 @@
   };
   const acceptNote = async (action: 'submit' | 'amend', params: unknown) => {
     requireAcceptsNotes();
-    const reading = parseNoteParams(params);
-    if ('note' in reading) return source[action](reading.note, deadline());
-    return source.refuse(attemptOf(action, reading.data), reading.problems);
+    const parsed = parseNoteParams(params);
+    if ('note' in parsed) return source[action](parsed.note, deadline());
+    return source.refuse(attemptOf(action, parsed.data), parsed.problems);
   };
   methods.on('submit', z.unknown(), (params) => acceptNote('submit', params));
   methods.on('amend', z.unknown(), (params) => acceptNote('amend', params));
@@ -49,9 +49,9 @@
     return source.withdraw(note, author, deadline());
   });
   methods.on('check', CheckParams, async ({ text, action }) => {
-    const reading = parseNote(text);
-    if (!('note' in reading)) return { outcome: 'refused', problems: reading.problems };
-    return source.check(reading.note, action, deadline());
+    const parsed = parseNote(text);
+    if (!('note' in parsed)) return { outcome: 'refused', problems: parsed.problems };
+    return source.check(parsed.note, action, deadline());
   });
   methods.on('audit', AuditParams, async ({ note, cursor }) => {
     const { entries, next } = await source.history(deadline(), cursor);
--- a/src/distribution/mesh.ts
+++ b/src/distribution/mesh.ts
@@ -31,7 +31,7 @@
 
   readonly #acceptLimiter: TokenBucket;
 
-  readonly #upkeep: LinkMaintenance;
+  readonly #linkMaintenance: LinkMaintenance;
 
   readonly #stopping = new AbortController();
 
@@ -53,7 +53,14 @@
     // One listener per neighbour being dialled; Node.js logs a warning above ten by default.
     setMaxListeners(0, this.#stopping.signal);
     this.#acceptLimiter = new TokenBucket(clock, ACCEPTED_PER_SECOND, ACCEPT_BURST);
-    this.#upkeep = new LinkMaintenance(this, roster, ranking, clock, random, this.#stopping.signal);
+    this.#linkMaintenance = new LinkMaintenance(
+      this,
+      roster,
+      ranking,
+      clock,
+      random,
+      this.#stopping.signal,
+    );
     methods.on(HELLO, (peer, theirs) => {
       this.#handleHello(peer, theirs);
       return this.hello();
@@ -89,7 +96,7 @@
 
   /** Closes links that neither end needs any more, until the signal aborts. */
   async run(signal: AbortSignal): Promise<void> {
-    await this.#upkeep.run(signal);
+    await this.#linkMaintenance.run(signal);
   }
 
   /**
--- a/src/platform/endpoint_reports.ts
+++ b/src/platform/endpoint_reports.ts
@@ -22,7 +22,7 @@
 /** Receives valid reports. */
 export interface ReportHandler {
   take(announcement: Announcement): void;
-  depart(life: InstanceRun): void;
+  depart(run: InstanceRun): void;
   /** Resolves when neighbours hold the last report, so that it survives the end of this process. */
   kept(): Promise<void>;
 }
--- a/src/platform/main.ts
+++ b/src/platform/main.ts
@@ -78,7 +78,7 @@
     const { control } = instance;
     const reports = createReportServer(() => service, {
       take: (announcement) => control.endpointLease.renew(announcement),
-      depart: (life) => control.endpointLease.depart(life),
+      depart: (run) => control.endpointLease.depart(run),
       kept: () => control.endpointReplicated(),
     });
     await bind(reports, listen.control.host, listen.control.port);
--- a/src/quarantine/crash_detector.ts
+++ b/src/quarantine/crash_detector.ts
@@ -100,11 +100,11 @@
     quarantine.check(head);
     if (!quarantine.needsBody(head) || !needsBody(request)) return undefined;
     if (request.headers.expect !== undefined) response.writeContinue();
-    const opening = await peekBody(request);
-    const fingerprint = wholeFingerprint(head, opening.prefix);
+    const peeked = await peekBody(request);
+    const fingerprint = wholeFingerprint(head, peeked.prefix);
     quarantine.check(fingerprint);
     this.#knownFingerprints.set(request, fingerprint);
-    return opening;
+    return peeked;
   }
 
   /**
--- a/src/requests/disconnect_check.ts
+++ b/src/requests/disconnect_check.ts
@@ -45,7 +45,7 @@
    *
    * @example
    * ```ts
-   * await disconnectCheck.run(response, () => sendTo(endpoint));
+   * await disconnectCheck.runIfConnected(response, () => sendTo(endpoint));
    * ```
    */
   runIfConnected<T>(response: ServerResponse, work: () => Promise<T>): Promise<T> {
--- a/src/requests/entry.ts
+++ b/src/requests/entry.ts
@@ -77,9 +77,9 @@
 
   readonly #split = new Split();
 
-  readonly #returns = new ReturningCallers();
+  readonly #returningCallers = new ReturningCallers();
 
-  readonly #weights = new AnswerSizes();
+  readonly #answerSizes = new AnswerSizes();
 
   /** Internal headers forwarded to callers on responses. */
   readonly #callerVisibleHeaders: ReadonlySet<string>;
@@ -91,7 +91,7 @@
     private readonly clock: Clock,
     private readonly random: Random,
     private readonly dialect: Dialect = DEFAULT_DIALECT,
-    private readonly retries: RetrySettings = DEFAULT_RETRY_SETTINGS,
+    private readonly retrySettings: RetrySettings = DEFAULT_RETRY_SETTINGS,
     private readonly uplink: Uplink = new Uplink(clock),
     private readonly disconnectCheck = new DisconnectCheck(clock),
   ) {
@@ -100,7 +100,7 @@
       ...CALLER_VISIBLE_HEADERS,
       ...dialect.allowedFromUpstreams,
     ]);
-    this.#budgets = new RetryBudgets(clock, random, retries.allowance);
+    this.#budgets = new RetryBudgets(clock, random, retrySettings.allowance);
     this.#nonce = random.nonce();
     this.#connections = new ConnectionPool(clock, MAX_SOCKETS_PER_GUARD);
     const serve = (request: IncomingMessage, response: ServerResponse) =>
@@ -136,7 +136,7 @@
       const now = this.clock.now();
       const outcome = withRetryTime(asOutcome(error), now, this.random);
       const isCut = response.headersSent;
-      if (routed?.caller) this.#returns.recordRefusal(routed.caller, routed.firstAt);
+      if (routed?.caller) this.#returningCallers.recordRefusal(routed.caller, routed.firstAt);
       refuse(response, outcome, now, this.dialect);
       trace.failed('entry-ended', response, outcome, isCut);
     }
@@ -150,9 +150,9 @@
     const context = {
       dialect: this.dialect,
       split: this.#split,
-      returns: this.#returns,
-      weights: this.#weights,
-      retryPercent: this.retries.percent,
+      returningCallers: this.#returningCallers,
+      answerSizes: this.#answerSizes,
+      retryPercent: this.retrySettings.percent,
       trace,
     };
     const routed = routeRequest(request, response, configuration, now, context);
@@ -258,7 +258,7 @@
     if (answer.headers[SHED] !== undefined) this.balancer.recordShed(endpoint);
     this.#budgets.of(routed.upstream).credit(routed.retryPercent);
     const length = Number(answer.headers['content-length'] ?? 0);
-    this.#weights.record(routed.route.name, length);
+    this.#answerSizes.record(routed.route.name, length);
     routed.response.writeHead(status, responseHeaders(answer, this.#callerVisibleHeaders));
     const bytes = await exchange.relay(answer, routed.response, this.uplink.schedule(length));
     routed.trace.relayed(bytes, this.clock.now() - now);
@@ -301,8 +301,8 @@
     attempt: number,
   ): void {
     const { instance, dataCentre } = endpoint.member;
-    const seen = this.balancer.snapshotOf(endpoint);
-    trace.add({ event: 'sent', exchange, endpoint: instance, dataCentre, attempt, ...seen });
+    const snapshot = this.balancer.snapshotOf(endpoint);
+    trace.add({ event: 'sent', exchange, endpoint: instance, dataCentre, attempt, ...snapshot });
   }
 
   #noteFailed(
--- a/src/requests/exchange.ts
+++ b/src/requests/exchange.ts
@@ -115,17 +115,17 @@
 
   /**
    * Streams the response to the caller, with back-pressure. Resolves to the size of its body in bytes
-   * once all of it has been read; with a `departure` the rest is written after that, as the uplink
+   * once all of it has been read; with a `reservation` the rest is written after that, as the uplink
    * schedules it. Rejects when the response is cut off or makes no progress; the caller's connection
    * must then be destroyed, as a clean end would make a partial response look complete.
    */
   relay(
     answer: IncomingMessage,
     response: ServerResponse,
-    departure?: Reservation,
+    reservation?: Reservation,
   ): Promise<number> {
     let bytes = 0;
-    const sink = departure ? new PacedResponse(response, departure) : response;
+    const sink = reservation ? new PacedResponse(response, reservation) : response;
     return new Promise((resolve, reject) => {
       const onTimeout = () =>
         this.#fail('silent', `no response progress for ${PROGRESS_TIMEOUT_MS} ms`);
--- a/src/requests/guard.ts
+++ b/src/requests/guard.ts
@@ -84,7 +84,7 @@
 
   readonly #connections: ConnectionPool;
 
-  readonly #weights = new AnswerSizes();
+  readonly #answerSizes = new AnswerSizes();
 
   /** Whether this process is stopping. */
   #isShuttingDown = false;
@@ -167,21 +167,23 @@
     const { request, response } = arrival;
     const guardRequest = this.#parseRequest(arrival);
     const route = headerOf(request, CLAIM);
-    const opening = await this.crashDetector?.admit(
+    const peeked = await this.crashDetector?.admit(
       guardRequest.announced.upstream,
       request,
       response,
     );
-    if (route === undefined) await this.#run(guardRequest, opening?.body ?? request);
+    if (route === undefined) await this.#run(guardRequest, peeked?.body ?? request);
     else await this.#runOnce(guardRequest, route);
   }
 
   async #run(guardRequest: GuardRequest, source: Readable, claim?: HeldClaim): Promise<void> {
     const { crashDetector } = this;
-    guardRequest.departure = this.#departure(guardRequest);
-    const { rolloutObserver: rollouts } = this;
+    guardRequest.reservation = this.#reserveUplink(guardRequest);
+    const { rolloutObserver } = this;
     const forward = () => this.#forward(guardRequest, source, claim);
-    const observed = rollouts ? () => rollouts.observe(guardRequest.kind, forward) : forward;
+    const observed = rolloutObserver
+      ? () => rolloutObserver.observe(guardRequest.kind, forward)
+      : forward;
     const work = crashDetector ? () => crashDetector.watch(guardRequest, observed) : observed;
     // A claimed request runs to its end even if its caller has disconnected: the caller will retry.
     const checkedWork = claim
@@ -190,14 +192,14 @@
     try {
       await this.limit.run(guardRequest, checkedWork);
     } catch (error) {
-      guardRequest.departure?.[Symbol.dispose]();
+      guardRequest.reservation?.[Symbol.dispose]();
       throw error;
     }
   }
 
   /** Reserves a place on the uplink if the response is expected to be large; throws the refusal. */
-  #departure({ kind, targetAt, deadline }: GuardRequest): Reservation | undefined {
-    const bytes = this.#weights.largeAnswerBytes(kind);
+  #reserveUplink({ kind, targetAt, deadline }: GuardRequest): Reservation | undefined {
+    const bytes = this.#answerSizes.largeAnswerBytes(kind);
     if (bytes === 0) return undefined;
     return this.uplink.admit({ bytes, heldMs: this.limit.heldMsOf(kind), targetAt, deadline });
   }
@@ -256,13 +258,13 @@
     response.writeHead(status, headers);
     if (claim) {
       // Responses to claimed requests are stored in the platform, so they are small.
-      guardRequest.departure?.[Symbol.dispose]();
+      guardRequest.reservation?.[Symbol.dispose]();
       claim.settle(await exchange.withProgressTimeout(answer, relayAndRecord(answer, response)));
     } else {
       const length = Number(answer.headers['content-length'] ?? 0);
-      this.#weights.record(guardRequest.kind, length);
-      guardRequest.departure = this.uplink.schedule(length, guardRequest.departure);
-      const bytes = await exchange.relay(answer, response, guardRequest.departure);
+      this.#answerSizes.record(guardRequest.kind, length);
+      guardRequest.reservation = this.uplink.schedule(length, guardRequest.reservation);
+      const bytes = await exchange.relay(answer, response, guardRequest.reservation);
       guardRequest.trace.relayed(bytes, this.clock.now() - startedAt - headMs);
     }
     // An endpoint that is still warming up is slow whatever its version, so its time does not count.
--- a/src/requests/guard_request.ts
+++ b/src/requests/guard_request.ts
@@ -33,7 +33,7 @@
   readonly announced: AnnouncedEndpoint;
   readonly trace: Trace;
   /** The place reserved on the uplink for its response, if that is expected to be large. */
-  departure?: Reservation | undefined;
+  reservation?: Reservation | undefined;
 }
 
 /** A request as it arrived, before its headers are parsed. */
--- a/src/requests/paced_response.ts
+++ b/src/requests/paced_response.ts
@@ -15,7 +15,7 @@
 export class PacedResponse extends Writable {
   constructor(
     private readonly response: ServerResponse,
-    private readonly departure: Reservation,
+    private readonly reservation: Reservation,
   ) {
     super({ highWaterMark: BUFFER_BYTES });
     response.once('close', () => this.destroy());
@@ -31,14 +31,14 @@
   }
 
   override _destroy(error: Error | null, done: (error?: Error | null) => void): void {
-    this.departure[Symbol.dispose]();
+    this.reservation[Symbol.dispose]();
     done(error);
   }
 
   async #writePaced(chunk: Buffer): Promise<void> {
     for (let start = 0; start < chunk.length; start += PIECE_BYTES) {
       const piece = chunk.subarray(start, start + PIECE_BYTES);
-      await this.departure.waitForTurn(piece.length);
+      await this.reservation.waitForTurn(piece.length);
       if (!this.response.write(piece)) await this.#waitForDrain();
     }
   }
--- a/src/requests/routed_request.ts
+++ b/src/requests/routed_request.ts
@@ -42,8 +42,8 @@
 export interface RoutingContext {
   readonly dialect: Dialect;
   readonly split: Split;
-  readonly returns: ReturningCallers;
-  readonly weights: AnswerSizes;
+  readonly returningCallers: ReturningCallers;
+  readonly answerSizes: AnswerSizes;
   /** Allowed retries for routes without a limit, as a percentage of answered requests. */
   readonly retryPercent: number;
   readonly trace: Trace;
@@ -55,7 +55,7 @@
   response: ServerResponse,
   configuration: Configuration,
   now: number,
-  { dialect, split, returns, weights, retryPercent, trace }: RoutingContext,
+  { dialect, split, returningCallers, answerSizes, retryPercent, trace }: RoutingContext,
 ): RoutedRequest {
   const target = parseTarget(request);
   const route = routeOf(configuration, target);
@@ -66,7 +66,7 @@
   const waitMs = dialect.callerTimeoutMs(request.headers);
   const deadline = now + Math.min(waitMs ?? route.timeoutMs, route.timeoutMs);
   const caller = waitMs === undefined ? undefined : callerOf(target, now + waitMs);
-  const firstAt = caller ? returns.firstAt(caller, now) : now;
+  const firstAt = caller ? returningCallers.firstAt(caller, now) : now;
   const targetAt = firstAt + (route.targetMs ?? route.timeoutMs);
   const limit = route.limit === undefined ? undefined : configuration.find('limit', route.limit);
   return {
@@ -77,7 +77,7 @@
     caller,
     firstAt,
     upstream: split.choose(route),
-    awayMs: weights.awayMs(route.name),
+    awayMs: answerSizes.awayMs(route.name),
     deadline,
     targetAt: Math.min(targetAt, deadline),
     isRepeatable: isRepeatable(route, target.method),
--- a/src/rollout/order_reader.ts
+++ b/src/rollout/order_reader.ts
@@ -111,11 +111,11 @@
   async #clearNewcomers(): Promise<void> {
     const { newcomers } = this.knownVersions;
     if (newcomers.length === 0) return;
-    const ordered = await this.source.list(this.clock.now() + CALL_MS);
-    this.#merge(ordered);
+    const orderList = await this.source.list(this.clock.now() + CALL_MS);
+    this.#merge(orderList);
     const isOrdered = ({ upstream, version }: Newcomer) =>
       this.orders.of(upstream)?.version === version;
-    const { revision } = ordered;
+    const { revision } = orderList;
     const cleared = newcomers.filter((newcomer) => !isOrdered(newcomer));
     this.broadcast.markCleared(cleared.map((newcomer) => ({ ...newcomer, revision })));
   }
--- a/src/rollout/rollout_broadcast.ts
+++ b/src/rollout/rollout_broadcast.ts
@@ -40,7 +40,7 @@
     private readonly random: Random,
     methods: Methods,
   ) {
-    methods.on(ROLLOUT, (peer, news) => this.#receive(news, peer));
+    methods.on(ROLLOUT, (peer, update) => this.#receive(update, peer));
     mesh.onOpen((peer) => {
       if (this.orders.isComplete || this.orders.all().length > 0) peer.notify(ROLLOUT, this.#all());
     });
@@ -62,7 +62,7 @@
   markComplete(from?: Peer): void {
     if (this.orders.isComplete) return;
     this.orders.markComplete();
-    for (const peer of this.mesh.peers) if (peer !== from) peer.notify(ROLLOUT, newsOf(true, {}));
+    for (const peer of this.mesh.peers) if (peer !== from) peer.notify(ROLLOUT, updateOf(true, {}));
   }
 
   addEvidence(evidence: Evidence, from?: string): void {
@@ -79,10 +79,10 @@
     for (const statement of evidence) this.addEvidence(statement, from);
   }
 
-  #send(news: Partial<RolloutUpdate>, from: Peer | undefined): void {
-    if ((news.rollouts ?? news.clearances ?? []).length === 0) return;
+  #send(update: Partial<RolloutUpdate>, from: Peer | undefined): void {
+    if ((update.rollouts ?? update.clearances ?? []).length === 0) return;
     for (const peer of this.mesh.peers) {
-      if (peer !== from) peer.notify(ROLLOUT, newsOf(this.orders.isComplete, news));
+      if (peer !== from) peer.notify(ROLLOUT, updateOf(this.orders.isComplete, update));
     }
   }
 
@@ -94,7 +94,7 @@
     for (const peer of this.mesh.peers) {
       const instance = peer.member?.instance;
       const evidence = pending.filter(({ from }) => from !== instance).map((item) => item.evidence);
-      if (evidence.length > 0) peer.notify(ROLLOUT, newsOf(this.orders.isComplete, { evidence }));
+      if (evidence.length > 0) peer.notify(ROLLOUT, updateOf(this.orders.isComplete, { evidence }));
     }
   }
 
@@ -109,6 +109,6 @@
   }
 }
 
-function newsOf(isComplete: boolean, news: Partial<RolloutUpdate>): RolloutUpdate {
-  return { isComplete, rollouts: [], clearances: [], evidence: [], ...news };
+function updateOf(isComplete: boolean, update: Partial<RolloutUpdate>): RolloutUpdate {
+  return { isComplete, rollouts: [], clearances: [], evidence: [], ...update };
 }
--- a/src/rollout/rollouts.ts
+++ b/src/rollout/rollouts.ts
@@ -98,9 +98,9 @@
   async observe<T extends ObservedAnswer>(route: string, work: () => Promise<T>): Promise<T> {
     if (!this.#ownOrder) return work();
     try {
-      const ran = await work();
-      this.#counter.add(route, ran);
-      return ran;
+      const answer = await work();
+      this.#counter.add(route, answer);
+      return answer;
     } catch (error) {
       if (isFailure(error)) this.#counter.add(route, { isFailure: true, tookMs: undefined });
       throw error;
--- a/src/test/admission/concurrency_limiter_test.ts
+++ b/src/test/admission/concurrency_limiter_test.ts
@@ -38,7 +38,7 @@
   /** Resolves to 'done', or to the verdict and reason of the refusal. */
   function run(job: TestJob): Promise<string> {
     const { name, takesMs = 10, outcome = ANSWERED, withinMs = 1_000, onGone = () => {} } = job;
-    const ticket = {
+    const limiterJob = {
       priority: job.priority ?? 5,
       deadline: clock.now() + withinMs,
       ...(job.targetMs !== undefined && { targetAt: clock.now() + job.targetMs }),
@@ -51,7 +51,7 @@
       await clock.sleepUntil(clock.now() + takesMs);
       return outcome;
     };
-    return limit.run(ticket, work).then(
+    return limit.run(limiterJob, work).then(
       () => 'done',
       ({ verdict, reason }: OutcomeError) => `${verdict} ${reason}`,
     );
--- a/src/test/admission/uplink_test.ts
+++ b/src/test/admission/uplink_test.ts
@@ -37,9 +37,9 @@
   };
 
   const sendAnswer = async (bytes: number, order: string[], name: string): Promise<void> => {
-    using departure = uplink.reserve(bytes);
+    using reservation = uplink.reserve(bytes);
     for (let left = bytes; left > 0; left -= PIECE_BYTES) {
-      await departure.waitForTurn(Math.min(left, PIECE_BYTES));
+      await reservation.waitForTurn(Math.min(left, PIECE_BYTES));
     }
     order.push(name);
   };
--- a/src/test/claims/claims_test.ts
+++ b/src/test/claims/claims_test.ts
@@ -165,7 +165,7 @@
      * unknown, so a repeat gets may-have-run with a retry time and must never run.
      */
     it('refuses every repeat if the holder died before an outcome was written', async () => {
-      const platform = new FaultyPlatform(store, clock, new SeededRandom(9), STEADY);
+      const platform = new FaultyPlatform(store, clock, new SeededRandom(9), NO_FAULTS);
       (await acquireClaim(claimsOf('arima-1', platform))).start();
       platform.hasCrashed = true;
       const early = await answerTo(claimsOf('arima-1'));
@@ -197,7 +197,7 @@
       await fc.assert(
         fc.asyncProperty(
           fc.array(PLANNED_REQUEST, { maxLength: 12 }),
-          UNSTEADY,
+          FAULT_RATES,
           fc.nat(),
           checkSchedule,
         ),
@@ -208,15 +208,14 @@
     /** Runs a schedule of requests over three processes whose calls to the store are unreliable. */
     async function checkSchedule(
       schedule: PlannedRequest[],
-      unsteadiness: typeof STEADY,
+      faultRates: typeof NO_FAULTS,
       from: number,
     ) {
       store = new PlatformStore(clock);
       seed = from;
       const runs = new Map<string, number>();
       const platforms = [1, 2, 3].map(
-        (process) =>
-          new FaultyPlatform(store, clock, new SeededRandom(from + process), unsteadiness),
+        (process) => new FaultyPlatform(store, clock, new SeededRandom(from + process), faultRates),
       );
       const processes = platforms.map((platform, index) => claimsOf(`process-${index}`, platform));
       const perform = async ({ atMs, process, key, behaviour }: PlannedRequest) => {
@@ -270,8 +269,8 @@
   ),
 });
 
-const STEADY = { lost: 0, answerLost: 0, late: 0 };
-const UNSTEADY = fc.record({
+const NO_FAULTS = { lost: 0, answerLost: 0, late: 0 };
+const FAULT_RATES = fc.record({
   lost: fc.double({ min: 0, max: 0.3, noNaN: true }),
   answerLost: fc.double({ min: 0, max: 0.3, noNaN: true }),
   late: fc.double({ min: 0, max: 0.3, noNaN: true }),
--- a/src/test/claims/range_claims_test.ts
+++ b/src/test/claims/range_claims_test.ts
@@ -20,8 +20,8 @@
   afterEach(() => time[Symbol.dispose]());
 
   function rangesOf(seed: number): RangeClaims {
-    const gathering = { ranges: 1, windowMs: 3 };
-    return new RangeClaims(store, time.clock, new SeededRandom(seed), gathering);
+    const options = { ranges: 1, windowMs: 3 };
+    return new RangeClaims(store, time.clock, new SeededRandom(seed), options);
   }
 
   function claim(nonce: string, fingerprint = 'f'): Claim {
--- a/src/test/membership/probe_test.ts
+++ b/src/test/membership/probe_test.ts
@@ -35,10 +35,10 @@
     await fleet.time.advance(20_000);
     let dials = 0;
     const count = ({ mesh }: Node) => {
-      const { tryDial: introduce } = mesh;
+      const { tryDial } = mesh;
       mesh.tryDial = (address) => {
         dials += 1;
-        return introduce.call(mesh, address);
+        return tryDial.call(mesh, address);
       };
     };
     count(one!);
--- a/src/test/placement/answer_sizes_test.ts
+++ b/src/test/placement/answer_sizes_test.ts
@@ -22,10 +22,10 @@
   // Guards against downloads between data centres when local slots are short: a lookup of 1.5 kB goes,
   // a download of 90 kB, as much traffic as sixty lookups, waits a quarter of a second.
   it('sends small answers through another data centre, and keeps downloads local', () => {
-    const weights = new AnswerSizes();
+    const answerSizes = new AnswerSizes();
     for (let answer = 0; answer < 20; answer++) {
-      weights.record('lookup', 1_500);
-      weights.record('download', 90_000);
+      answerSizes.record('lookup', 1_500);
+      answerSizes.record('download', 90_000);
     }
     const roster = new Roster(memberOf('entry', 1));
     const endpoint = { upstream: 'bookings', state: 'ready' as const, slots: 6 };
@@ -37,7 +37,7 @@
     const busy = { inFlight: 6, slots: 6, waiting: 1, heldMs: 100, leavingMs: 0 };
     balancer.recordAnswer(near, 100, busy, false);
     const chosen = (route: string) =>
-      balancer.choose('bookings', NONE, weights.awayMs(route))!.member.instance;
+      balancer.choose('bookings', NONE, answerSizes.awayMs(route))!.member.instance;
     expect({ lookup: chosen('lookup'), download: chosen('download') }).to.deep.equal({
       lookup: 'far',
       download: 'near',
--- a/src/test/platform/endpoint_reports_test.ts
+++ b/src/test/platform/endpoint_reports_test.ts
@@ -22,7 +22,7 @@
     const told: unknown[] = [];
     const server = createReportServer(() => 'listings', {
       take: (announcement) => told.push(announcement),
-      depart: (life) => told.push({ departs: life }),
+      depart: (run) => told.push({ departs: run }),
       kept: () => Promise.resolve(),
     });
     await listen(server);
--- a/src/test/quarantine/crash_detector_test.ts
+++ b/src/test/quarantine/crash_detector_test.ts
@@ -133,12 +133,12 @@
     await startGuards(1);
     const quarantine = new Quarantine(clock, new SeededRandom(1), () => {});
     let probed = 0;
-    const flights = new CrashDetector(quarantine, clock, async () => {
+    const crashDetector = new CrashDetector(quarantine, clock, async () => {
       probed += 1;
       return false;
     });
     const breaking = new Guard(clock);
-    owned.use(breaking).crashDetector = flights;
+    owned.use(breaking).crashDetector = crashDetector;
     const upstream = createServer((request) => request.socket.destroy());
     const port = await listen(upstream);
     owned.use({ [Symbol.asyncDispose]: () => shut(upstream) });
--- a/src/test/requests/disconnect_check_test.ts
+++ b/src/test/requests/disconnect_check_test.ts
@@ -25,18 +25,18 @@
   // Guards against slots that are idle during the check of a caller who was checked moments ago.
   it('starts a recently checked request at once, and checks again after a wait', async () => {
     const clock = new MachineClock();
-    const presence = new DisconnectCheck(clock);
+    const disconnectCheck = new DisconnectCheck(clock);
     const { socket, response } = caller();
     let isAtOnce = false;
-    await presence.runIfConnected(response, async () => {
-      const again = presence.runIfConnected(response, async () => {
+    await disconnectCheck.runIfConnected(response, async () => {
+      const again = disconnectCheck.runIfConnected(response, async () => {
         isAtOnce = true;
       });
       expect(isAtOnce).to.equal(true);
       await again;
     });
     await clock.sleepUntil(clock.now() + 50);
-    const late = presence.runIfConnected(response, async () => 'passed on').catch(asOutcome);
+    const late = disconnectCheck.runIfConnected(response, async () => 'passed on').catch(asOutcome);
     socket.readableEnded = true;
     expect(await late).to.include({ verdict: 'not-run', reason: 'cancelled' });
   });
--- a/src/test/requests/faulty_platform.ts
+++ b/src/test/requests/faulty_platform.ts
@@ -32,7 +32,7 @@
     private readonly store: PlatformStore,
     private readonly clock: Clock,
     private readonly random: Random,
-    private readonly unsteadiness: FaultRates,
+    private readonly faultRates: FaultRates,
   ) {
     super();
   }
@@ -82,7 +82,7 @@
 
   async #write<T>(write: () => Promise<T>): Promise<T> {
     await this.#delay();
-    const { lost, answerLost, late } = this.unsteadiness;
+    const { lost, answerLost, late } = this.faultRates;
     const drawn = this.random.next();
     if (drawn < lost) return this.#timeOut();
     if (drawn < lost + answerLost) {
--- a/src/test/requests/request_tracker_test.ts
+++ b/src/test/requests/request_tracker_test.ts
@@ -12,11 +12,11 @@
     const entered: boolean[] = [];
     const responses: ServerResponse[] = [];
     const server = createServer((_, response) => {
-      entered.push(traffic.track(response));
+      entered.push(tracker.track(response));
       responses.push(response);
     });
-    const traffic = new RequestTracker(server, new MachineClock());
-    traffic.beginShutdown();
+    const tracker = new RequestTracker(server, new MachineClock());
+    tracker.beginShutdown();
     await listen(server);
     const socket = connect((server.address() as AddressInfo).port, LOOPBACK);
     let received = '';
@@ -32,7 +32,7 @@
         resolve(received);
       });
     });
-    return { entered, responses, socket, until, closed, traffic };
+    return { entered, responses, socket, until, closed, tracker };
   }
 
   // Guards against losing the second of two pipelined requests, which is running, when the process
@@ -52,33 +52,33 @@
   // Guards against running a request that arrives after the response before it has announced the end
   // of the connection: nobody would get its response, and its caller resends it elsewhere.
   it('rejects a request that follows the closing response of its connection', async () => {
-    const { entered, responses, socket, until, closed, traffic } = await startShuttingDown();
+    const { entered, responses, socket, until, closed, tracker } = await startShuttingDown();
     socket.write(REQUEST);
     await until(() => responses.length === 1);
     responses[0]!.writeHead(200);
     responses[0]!.write('begun');
     socket.write(REQUEST);
     await until(() => responses.length === 2);
-    expect([entered, traffic.inFlight]).to.deep.equal([[true, false], 1]);
+    expect([entered, tracker.inFlight]).to.deep.equal([[true, false], 1]);
     responses[0]!.end();
     await closed;
   });
 
   // Guards against pipelined requests that count for ever once their caller has disconnected.
   it('stops counting all requests of a connection that closes', async () => {
-    const { responses, socket, until, closed, traffic } = await startShuttingDown();
+    const { responses, socket, until, closed, tracker } = await startShuttingDown();
     const ended: number[] = [];
     socket.write(REQUEST.repeat(3));
     await until(() => responses.length === 3);
     responses.forEach((response, index) => response.once('close', () => ended.push(index)));
     socket.destroy();
     await closed;
-    for (let turn = 0; turn < 50 && traffic.inFlight > 0; turn++) {
+    for (let turn = 0; turn < 50 && tracker.inFlight > 0; turn++) {
       await new Promise((resolve) => {
         setTimeout(resolve, 2);
       });
     }
-    expect([traffic.inFlight, ended]).to.deep.equal([0, [0, 1, 2]]);
+    expect([tracker.inFlight, ended]).to.deep.equal([0, [0, 1, 2]]);
     // Code that still works on a request learns of the disconnect from its response.
     for (const response of responses) expect(response.destroyed).to.equal(true);
   });
--- a/src/test/rollout/order_reader_test.ts
+++ b/src/test/rollout/order_reader_test.ts
@@ -50,10 +50,17 @@
     const random = new SeededRandom(3);
     const log = new MemoryLog('debug');
     const orders = new Orders();
-    const book = new EvidenceStore();
+    const evidenceStore = new EvidenceStore();
     const mesh = { peers: [], onOpen: () => {} };
-    const broadcast = new RolloutBroadcast(mesh, orders, book, clock, random, new Methods());
-    const judge = new Judge(orders, book, broadcast, clock, log);
+    const broadcast = new RolloutBroadcast(
+      mesh,
+      orders,
+      evidenceStore,
+      clock,
+      random,
+      new Methods(),
+    );
+    const judge = new Judge(orders, evidenceStore, broadcast, clock, log);
     const ranking = new Ranking(new Roster(memberOf('self')), FANOUT);
     const source = new UnreadableSource(3);
     const knownVersions = { newcomers: [] };
--- a/src/test/rollout/regression_detector_test.ts
+++ b/src/test/rollout/regression_detector_test.ts
@@ -82,7 +82,7 @@
     );
   const old = fleet('v1');
   const fresh = fleet('v2');
-  const judgement = new RegressionDetector('v2');
+  const detector = new RegressionDetector('v2');
   const routeOf = () => (random.next() < 0.75 ? 'browse' : 'confirm');
   let finding: Finding | undefined;
   for (let look = 0; look < STEPS; look++) {
@@ -97,7 +97,7 @@
       fresh[turn]!.answer(route, behaviour, disturbance);
     }
     const evidence = [...old, ...fresh].map((endpoint) => endpoint.evidence);
-    finding = judgement.look(evidence, look * STEP_MS);
+    finding = detector.look(evidence, look * STEP_MS);
     if (finding.isBad) return { ...finding, look };
   }
   return { ...finding!, look: STEPS };
