--- a/src/bench/http.ts
+++ b/src/bench/http.ts
@@ -1,6 +1,6 @@
 /** JSON requests to operators' ports and to the platform stand-in. */
 import { Agent } from 'node:http';
-import { type Calls } from '../standins/platform_store.js';
+import { type CallCounts } from '../standins/platform_store.js';
 import { ask } from './caller.js';
 
 const agent = new Agent({ keepAlive: true });
@@ -12,6 +12,6 @@
 
 /** Resolves to the number of calls that the platform stand-in has counted so far. */
 export async function platformCalls(port: number): Promise<number> {
-  const { reads, writes, watches } = await getJson<Calls>(port, '/calls');
+  const { reads, writes, watches } = await getJson<CallCounts>(port, '/calls');
   return reads + writes + watches;
 }
--- a/src/bench/mesh_fleet.ts
+++ b/src/bench/mesh_fleet.ts
@@ -14,9 +14,9 @@
   callHeaders,
   type MeshMachine,
   meshMachine,
-  operatorsObject,
+  configurationObject,
   PORTS,
-  putInForce,
+  applyConfiguration,
   writeSettings,
 } from '../standins/mesh_machine.js';
 import { MeshUpstream, type MeshUpstreamOptions } from '../standins/mesh_upstream.js';
@@ -91,8 +91,8 @@
   async publishVersion(): Promise<void> {
     const { routes, services } = this.options;
     this.#number += 1;
-    const value = operatorsObject(this.#number, routes + this.#number, services);
-    await putInForce(this.#store.store, value, this.clock.now() + STORE_CALL_TIMEOUT_MS);
+    const value = configurationObject(this.#number, routes + this.#number, services);
+    await applyConfiguration(this.#store.store, value, this.clock.now() + STORE_CALL_TIMEOUT_MS);
   }
 
   /** Sends one request to the entry of machine `index`; resolves to whether it got status 200. */
--- a/src/platform/rehearse.ts
+++ b/src/platform/rehearse.ts
@@ -11,9 +11,9 @@
   callHeaders,
   type MeshMachine,
   meshMachine,
-  operatorsObject,
+  configurationObject,
   PORTS,
-  putInForce,
+  applyConfiguration,
   writeSettings,
 } from '../standins/mesh_machine.js';
 import { MeshUpstream } from '../standins/mesh_upstream.js';
@@ -37,7 +37,7 @@
 async function rehearse(): Promise<number> {
   const loaded = loadWithCodeCache(join(__dirname, 'barleyhavend.cjs'));
   const { store, url } = await PlatformServer.start(clock);
-  await putInForce(store, operatorsObject(1, ROUTES, SERVICES), callDeadline());
+  await applyConfiguration(store, configurationObject(1, ROUTES, SERVICES), callDeadline());
   const machines = [0, 1].map((index) => meshMachine(index, 1, SERVICES));
   const folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
   for (const machine of machines) {
@@ -51,7 +51,11 @@
     if (await call(machines[count % machines.length]!, count)) served += 1;
     if (count % REQUESTS_PER_VERSION === 0) {
       const number = 1 + count / REQUESTS_PER_VERSION;
-      await putInForce(store, operatorsObject(number, ROUTES + number, SERVICES), callDeadline());
+      await applyConfiguration(
+        store,
+        configurationObject(number, ROUTES + number, SERVICES),
+        callDeadline(),
+      );
     }
   }
   loaded.writeCache();
--- a/src/standins/lane.ts
+++ b/src/standins/bandwidth_limiter.ts
@@ -1,7 +1,7 @@
 /** Simulates the limited outbound bandwidth of a machine: messages leave one after the other. */
 const BITS_PER_BYTE = 8;
 
-export class Lane {
+export class BandwidthLimiter {
   /** When all data sent so far has left, in milliseconds since the epoch. */
   #freeAt = 0;
 
--- a/src/standins/reached_platform.ts
+++ b/src/standins/interruptible_platform.ts
@@ -10,7 +10,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Gate } from './gate.js';
 
-export class ReachedPlatform extends Platform {
+export class InterruptiblePlatform extends Platform {
   constructor(
     private readonly platform: Platform,
     private readonly clock: Clock,
--- a/src/standins/listen.ts
+++ b/src/standins/listen.ts
@@ -9,7 +9,7 @@
 }
 
 /** Closes a server immediately, destroying open connections. */
-export async function shut(server: Server): Promise<void> {
+export async function closeServer(server: Server): Promise<void> {
   const closed = new Promise<void>((resolve) => {
     server.close(() => resolve());
   });
--- a/src/standins/memory_link.ts
+++ b/src/standins/memory_link.ts
@@ -4,7 +4,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
 import { type Gate } from './gate.js';
-import { type Lane } from './lane.js';
+import { type BandwidthLimiter } from './bandwidth_limiter.js';
 
 /** Faults of messages, all settable while links are open. Probabilities are in [0, 1]. */
 export interface LinkFaults {
@@ -37,7 +37,7 @@
 /** What affects the end of a link at one process: its pauses and its bandwidth. */
 export interface HostConditions {
   readonly gate: Gate;
-  readonly lane?: Lane | undefined;
+  readonly bandwidthLimiter?: BandwidthLimiter | undefined;
 }
 
 /** Length of the frame header that a real link sends before each message, in bytes. */
@@ -69,7 +69,7 @@
     private readonly settings: LinkSettings,
     private readonly gate: Gate,
     /** Limits the bandwidth of this end's machine; unlimited if absent. */
-    private readonly lane: Lane | undefined,
+    private readonly bandwidthLimiter: BandwidthLimiter | undefined,
   ) {
     super();
   }
@@ -81,8 +81,8 @@
     far: HostConditions,
   ): [MemoryLink, MemoryLink] {
     const ends: [MemoryLink, MemoryLink] = [
-      new MemoryLink(settings, near.gate, near.lane),
-      new MemoryLink(settings, far.gate, far.lane),
+      new MemoryLink(settings, near.gate, near.bandwidthLimiter),
+      new MemoryLink(settings, far.gate, far.bandwidthLimiter),
     ];
     const [one, other] = ends;
     one.#otherEnd = other;
@@ -136,7 +136,7 @@
   #arrivalTime(bytes: number): number {
     const { clock, random, faults } = this.settings;
     const now = clock.now();
-    const leavesAt = this.lane?.departure(bytes, now) ?? now;
+    const leavesAt = this.bandwidthLimiter?.departure(bytes, now) ?? now;
     const earliest = leavesAt + faults.latencyMs + random.jitter(faults.delayMs);
     if (random.next() < faults.reorder) return earliest + random.jitter(MAX_REORDER_DELAY_MS);
     this.#lastArrivalAt = Math.max(this.#lastArrivalAt, earliest);
--- a/src/standins/mesh_machine.ts
+++ b/src/standins/mesh_machine.ts
@@ -68,7 +68,7 @@
 }
 
 /** Creates or updates the operator's configuration object. `deadline` in ms since the epoch. */
-export async function putInForce(
+export async function applyConfiguration(
   store: PlatformStore,
   value: string,
   deadline: number,
@@ -79,7 +79,7 @@
 }
 
 /** An operator's configuration object with `routes` routes, assigned to the services round-robin. */
-export function operatorsObject(
+export function configurationObject(
   number: number,
   routes: number,
   services: readonly string[],
--- a/src/standins/mesh_upstream.ts
+++ b/src/standins/mesh_upstream.ts
@@ -9,7 +9,7 @@
 import { bind } from '../daemon/bind.js';
 import { type Clock } from '../runtime/clock.js';
 import { type MeshMachine, PORTS } from './mesh_machine.js';
-import { shut } from './listen.js';
+import { closeServer } from './listen.js';
 
 const REPORT_EVERY_MS = 1_500;
 const SLOTS = 13;
@@ -55,7 +55,7 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stopping.abort();
-    await shut(this.#server);
+    await closeServer(this.#server);
   }
 
   async #answer(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/src/standins/platform_server.ts
+++ b/src/standins/platform_server.ts
@@ -5,7 +5,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { HISTORY_GONE, keyParts, type Stored } from '../platform/platform.js';
 import { type Faults, PlatformStore } from './platform_store.js';
-import { listen, LOOPBACK, shut } from './listen.js';
+import { listen, LOOPBACK, closeServer } from './listen.js';
 
 /** Time limit for a call to the store, and for idle connections; callers have limits of their own. */
 const REQUEST_TIMEOUT_MS = 60_000;
@@ -43,7 +43,7 @@
   }
 
   async [Symbol.asyncDispose](): Promise<void> {
-    await shut(this.#server);
+    await closeServer(this.#server);
   }
 
   async #serve(request: IncomingMessage, response: ServerResponse): Promise<void> {
@@ -60,7 +60,7 @@
     const url = new URL(request.url ?? '/', this.url);
     if (url.pathname === '/faults') {
       Object.assign(this.store.faults, JSON.parse(await text(request)) as Partial<Faults>);
-      this.store.disturb();
+      this.store.wakeWatches();
       return okReply(this.store.faults);
     }
     if (url.pathname === '/calls') return okReply(this.store.calls);
--- a/src/standins/platform_store.ts
+++ b/src/standins/platform_store.ts
@@ -27,7 +27,7 @@
 }
 
 /** Number of calls by kind; a watch counts once, however long it waits. */
-export interface Calls {
+export interface CallCounts {
   reads: number;
   writes: number;
   watches: number;
@@ -52,7 +52,7 @@
     loseAnswers: 0,
   };
 
-  readonly calls: Calls = { reads: 0, writes: 0, watches: 0 };
+  readonly calls: CallCounts = { reads: 0, writes: 0, watches: 0 };
 
   readonly #values = new Map<string, Stored>();
 
@@ -158,7 +158,7 @@
   compact(): void {
     this.#history = [];
     this.#droppedUpTo = this.#revision;
-    this.disturb();
+    this.wakeWatches();
   }
 
   async watch(range: KeyRange, deadline: number, signal?: AbortSignal): Promise<Stored[]> {
@@ -174,7 +174,7 @@
   }
 
   /** Wakes all waiting watches, so that those started before an outage notice it. */
-  disturb(): void {
+  wakeWatches(): void {
     for (const waiter of [...this.#waiters]) waiter.wake();
   }
 
--- a/src/standins/upstream_server.ts
+++ b/src/standins/upstream_server.ts
@@ -10,7 +10,7 @@
 import PQueue from 'p-queue';
 import { type EndpointState } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
-import { listen, LOOPBACK, shut } from './listen.js';
+import { listen, LOOPBACK, closeServer } from './listen.js';
 import { type Conduct, conductOf } from './upstream_conduct.js';
 
 export interface UpstreamOptions {
@@ -119,7 +119,7 @@
 
   /** Simulates a crash: the port closes and all connections break. */
   async crash(): Promise<void> {
-    await shut(this.#server);
+    await closeServer(this.#server);
   }
 
   /** Listens on the same port again. */
@@ -129,7 +129,7 @@
 
   async [Symbol.asyncDispose](): Promise<void> {
     this.#stopping.abort();
-    if (this.#server.listening) await shut(this.#server);
+    if (this.#server.listening) await closeServer(this.#server);
   }
 
   async #serve(incoming: IncomingMessage, response: ServerResponse): Promise<void> {
--- a/src/test/claims/once_test.ts
+++ b/src/test/claims/once_test.ts
@@ -9,7 +9,7 @@
 import { MachineClock } from '../../runtime/clock.js';
 import { ResourceStack } from '../../runtime/resource_stack.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { listen, LOOPBACK, shut } from '../../standins/listen.js';
+import { listen, LOOPBACK, closeServer } from '../../standins/listen.js';
 import { PlatformStore } from '../../standins/platform_store.js';
 
 const clock = new MachineClock();
@@ -38,7 +38,7 @@
       });
     });
     upstreamPort = await listen(upstream);
-    owned.use({ [Symbol.asyncDispose]: () => shut(upstream) });
+    owned.use({ [Symbol.asyncDispose]: () => closeServer(upstream) });
   });
 
   afterEach(() => owned[Symbol.asyncDispose]());
@@ -117,7 +117,7 @@
    */
   it('releases the claim when the upstream cannot be reached', async () => {
     const [arima, amman] = [await guardOf('arima'), await guardOf('amman-1')];
-    await shut(upstream);
+    await closeServer(upstream);
     const refused = await book(arima);
     upstream.listen(upstreamPort, LOOPBACK);
     await once(upstream, 'listening');
--- a/src/test/daemon/request_meter_test.ts
+++ b/src/test/daemon/request_meter_test.ts
@@ -5,7 +5,7 @@
 import { OutcomeError } from '../../contracts.js';
 import { refuse } from '../../requests/refusal.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { listen, shut } from '../../standins/listen.js';
+import { listen, closeServer } from '../../standins/listen.js';
 
 const DRAINING = { verdict: 'not-run', reason: 'draining' } as const;
 
@@ -33,7 +33,7 @@
       });
       outgoing.end();
     });
-    await shut(server);
+    await closeServer(server);
     expect(meter.endings).toMatchSnapshot();
     expect(meter.latency.totalCount).to.equal(1);
     expect(meter.inFlight).to.equal(0);
--- a/src/test/distribution/distributor_test.ts
+++ b/src/test/distribution/distributor_test.ts
@@ -130,7 +130,7 @@
     await converge(fleet, await accepting, 450);
     fleet.platform.faults.slowMs = 0;
     fleet.platform.faults.down = true;
-    fleet.platform.disturb();
+    fleet.platform.wakeWatches();
     await fleet.time.advance(5_000);
     fleet.platform.faults.down = false;
     await converge(fleet, await fleet.accept(), RECOVERY_MS);
--- a/src/test/distribution/properties_test.ts
+++ b/src/test/distribution/properties_test.ts
@@ -133,7 +133,7 @@
       break;
     case 'platform':
       fleet.platform.faults.down = event.down;
-      fleet.platform.disturb();
+      fleet.platform.wakeWatches();
       break;
     case 'cutPlatform':
       fleet.cutOff.add(event.dataCentre);
--- a/src/test/distribution/test_fleet.ts
+++ b/src/test/distribution/test_fleet.ts
@@ -11,10 +11,10 @@
 import { type Platform } from '../../platform/platform.js';
 import { type Random, SeededRandom } from '../../runtime/random.js';
 import { Gate, GatedClock } from '../../standins/gate.js';
-import { Lane } from '../../standins/lane.js';
+import { BandwidthLimiter } from '../../standins/bandwidth_limiter.js';
 import { type Host, MemoryNetwork } from '../../standins/memory_network.js';
 import { PlatformStore } from '../../standins/platform_store.js';
-import { ReachedPlatform } from '../../standins/reached_platform.js';
+import { InterruptiblePlatform } from '../../standins/interruptible_platform.js';
 import { Log } from '../../source/log.js';
 import { logFeed } from '../../source/log_feed.js';
 import { FakeTime } from '../fake_time.js';
@@ -158,7 +158,7 @@
     const gate = new Gate();
     const clock = new GatedClock(this.clock, gate);
     const isCut = () => this.cutOff.has(dataCentre) || this.cutOff.has(name);
-    const platform = new ReachedPlatform(this.platform, clock, gate, isCut);
+    const platform = new InterruptiblePlatform(this.platform, clock, gate, isCut);
     const { linkKbps } = this.options;
     const port = 1_000 + [...this.nodes.keys(), name].indexOf(name);
     const host: Host = {
@@ -166,7 +166,7 @@
       port,
       dataCentre,
       gate,
-      lane: linkKbps === undefined ? undefined : new Lane(linkKbps),
+      bandwidthLimiter: linkKbps === undefined ? undefined : new BandwidthLimiter(linkKbps),
       accept: (link) => control.mesh.accept(link),
     };
     const dialer = this.network.attach(host);
--- a/src/test/quarantine/crash_detector_test.ts
+++ b/src/test/quarantine/crash_detector_test.ts
@@ -8,7 +8,7 @@
 import { MachineClock } from '../../runtime/clock.js';
 import { ResourceStack } from '../../runtime/resource_stack.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { listen, LOOPBACK, shut } from '../../standins/listen.js';
+import { listen, LOOPBACK, closeServer } from '../../standins/listen.js';
 
 const clock = new MachineClock();
 const POISON = 'seat=poison';
@@ -49,7 +49,7 @@
     });
     const upstream = crashingUpstream(() => arrived());
     const upstreamPort = await listen(upstream);
-    owned.use({ [Symbol.asyncDispose]: () => shut(upstream) });
+    owned.use({ [Symbol.asyncDispose]: () => closeServer(upstream) });
     const guard = owned.use(new Guard(clock));
     const quarantine = new Quarantine(clock, new SeededRandom(index), broadcast);
     guard.crashDetector = new CrashDetector(quarantine, clock);
@@ -75,7 +75,7 @@
         const body = Buffer.concat(chunks).toString();
         if (body === POISON) {
           beforeDeath();
-          void shut(server);
+          void closeServer(server);
         } else if (body === 'slow') arrived();
         else response.end('booked');
       });
@@ -141,7 +141,7 @@
     owned.use(breaking).crashDetector = crashDetector;
     const upstream = createServer((request) => request.socket.destroy());
     const port = await listen(upstream);
-    owned.use({ [Symbol.asyncDispose]: () => shut(upstream) });
+    owned.use({ [Symbol.asyncDispose]: () => closeServer(upstream) });
     const endpoint = { upstream: 'bookings', state: 'ready', slots: 8 } as const;
     breaking.announce({ ...endpoint, host: LOOPBACK, port });
     const answer = await book({ port: await listen(breaking.server) }, INNOCENT);
--- a/src/test/requests/acknowledgement_test.ts
+++ b/src/test/requests/acknowledgement_test.ts
@@ -1,7 +1,7 @@
 import { createServer } from 'node:http';
 import { expect } from 'chai';
 import { ResourceStack } from '../../runtime/resource_stack.js';
-import { listen, shut } from '../../standins/listen.js';
+import { listen, closeServer } from '../../standins/listen.js';
 import { memberOf, TestPath } from './test_path.js';
 
 /** An endpoint whose guard accepts requests and never responds, as behind a network partition. */
@@ -17,7 +17,7 @@
   owned.use({
     [Symbol.asyncDispose]: async () => {
       server.closeAllConnections();
-      await shut(server);
+      await closeServer(server);
     },
   });
   const endpoint = { upstream: 'bookings', state: 'ready', slots: 20 } as const;
--- a/src/test/requests/exchange_test.ts
+++ b/src/test/requests/exchange_test.ts
@@ -5,7 +5,7 @@
 import { ConnectionPool } from '../../requests/connection_pool.js';
 import { Exchange } from '../../requests/exchange.js';
 import { MachineClock } from '../../runtime/clock.js';
-import { listen, LOOPBACK, shut } from '../../standins/listen.js';
+import { listen, LOOPBACK, closeServer } from '../../standins/listen.js';
 
 const clock = new MachineClock();
 const TIMEOUT_MS = 1_000;
@@ -52,7 +52,7 @@
     if (leaves === 'while it connects') socket.readableEnded = true;
     const outcome = await answer;
     connections.destroy();
-    await shut(server);
+    await closeServer(server);
     return [outcome, arrived];
   }
 
--- a/src/test/tool/explain/explain_test.ts
+++ b/src/test/tool/explain/explain_test.ts
@@ -3,8 +3,8 @@
 import { tmpdir } from 'node:os';
 import { join } from 'node:path';
 import { parseLine, readLogLines } from '../../../tool/explain/log_lines.js';
-import { renderTimeline } from '../../../tool/explain/render_story.js';
-import { buildTimeline } from '../../../tool/explain/story.js';
+import { renderTimeline } from '../../../tool/explain/render_timeline.js';
+import { buildTimeline } from '../../../tool/explain/timeline.js';
 import { type Line } from '../../../logs/events.js';
 
 const AT = Date.UTC(2026, 11, 3);
--- a/src/test/tool/losses/account_test.ts
+++ b/src/test/tool/losses/loss_report_test.ts
@@ -1,7 +1,7 @@
 import { expect } from 'chai';
 import { parseLine } from '../../../tool/explain/log_lines.js';
-import { buildLossReport } from '../../../tool/losses/account.js';
-import { renderLossReport } from '../../../tool/losses/render_account.js';
+import { buildLossReport } from '../../../tool/losses/loss_report.js';
+import { renderLossReport } from '../../../tool/losses/render_loss_report.js';
 
 /** Log lines in the format in which processes write them. */
 function linesOf(events: readonly object[]) {
--- a/src/tool/explain/cause.ts
+++ b/src/tool/explain/cause.ts
@@ -1,6 +1,6 @@
 /** Explains in one paragraph how a request ended and why, from its log lines. */
 import { type Line } from '../../logs/events.js';
-import { type RequestTimeline } from './story.js';
+import { type RequestTimeline } from './timeline.js';
 
 type LineOf<Event extends Line['event']> = Extract<Line, { readonly event: Event }>;
 
--- a/src/tool/explain/render_story.ts
+++ b/src/tool/explain/render_timeline.ts
@@ -2,7 +2,7 @@
 import { type Line } from '../../logs/events.js';
 import { table } from '../table.js';
 import { causeOf } from './cause.js';
-import { type RequestTimeline } from './story.js';
+import { type RequestTimeline } from './timeline.js';
 
 /** Fields that have a column of their own or are the same in all lines. */
 const OMITTED_FIELDS: ReadonlySet<string> = new Set(['at', 'instance', 'event', 'id', 'level']);
--- a/src/tool/losses/account.ts
+++ b/src/tool/losses/loss_report.ts
@@ -1,7 +1,7 @@
 /** Counts late, refused and failed requests from the log lines of all processes. */
 import { type Line } from '../../logs/events.js';
 import { type LogLines } from '../explain/log_lines.js';
-import { FreeSlotHistory } from './rooms.js';
+import { FreeSlotHistory } from './free_slots.js';
 
 type LineOf<Event extends Line['event']> = Extract<Line, { readonly event: Event }>;
 
--- a/src/tool/losses/render_account.ts
+++ b/src/tool/losses/render_loss_report.ts
@@ -1,6 +1,11 @@
 /** Renders the output of `losses`: when and where requests were late, refused or failed. */
 import { table } from '../table.js';
-import { type LossReport, type OverloadRefusals, type RequestCounts, type Row } from './account.js';
+import {
+  type LossReport,
+  type OverloadRefusals,
+  type RequestCounts,
+  type Row,
+} from './loss_report.js';
 
 const HEADINGS = [
   'second',
--- a/src/tool/main.ts
+++ b/src/tool/main.ts
@@ -11,10 +11,10 @@
 import { Client } from './client.js';
 import { EXIT } from './exit.js';
 import { readLogLines } from './explain/log_lines.js';
-import { renderTimeline } from './explain/render_story.js';
-import { buildTimeline } from './explain/story.js';
-import { buildLossReport } from './losses/account.js';
-import { renderLossReport } from './losses/render_account.js';
+import { renderTimeline } from './explain/render_timeline.js';
+import { buildTimeline } from './explain/timeline.js';
+import { buildLossReport } from './losses/loss_report.js';
+import { renderLossReport } from './losses/render_loss_report.js';
 import { amend, check, submit, withdraw } from './note_commands.js';
 import { type Options, print } from './output.js';
 import { renderAudit } from './render_audit.js';
