--- a/src/bench/demo.ts
+++ b/src/bench/demo.ts
@@ -8,7 +8,7 @@
 import { type Acceptance } from '../source/acceptance.js';
 import { Client } from '../tool/client.js';
 import { renderAudit } from '../tool/render_audit.js';
-import { ask } from './caller.js';
+import { sendRequest } from './http_client.js';
 import { Fleet } from './fleet.js';
 
 const clock = new MachineClock();
@@ -61,8 +61,8 @@
   const acceptance = await client.call<Acceptance>('submit', note);
   const number = acceptance.outcome === 'accepted' ? acceptance.record.version.number : Infinity;
   const isHeldEverywhere = () =>
-    fleet.stations.every(({ instance }) => instance.replica.current.number >= number);
-  const isConverged = await fleet.until(isHeldEverywhere, clock.now() + CONVERGENCE_TIMEOUT_MS);
+    fleet.nodes.every(({ instance }) => instance.replica.current.number >= number);
+  const isConverged = await fleet.waitUntil(isHeldEverywhere, clock.now() + CONVERGENCE_TIMEOUT_MS);
   const tookMs = Math.round(clock.now() - startedAt);
   report(
     `${note.id}: ${acceptance.outcome} as version ${number}, held by all processes after ${tookMs} ms`,
@@ -79,11 +79,13 @@
       sent += 1;
       const id = `${name}-${sent}`;
       const { port } = pickProxy(fleet, sent);
-      const answer = await ask({ port, path, headers: { 'x-request': id }, agent: agent.value });
-      const runs = fleet.stations.reduce(
-        (sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0),
-        0,
-      );
+      const answer = await sendRequest({
+        port,
+        path,
+        headers: { 'x-request': id },
+        agent: agent.value,
+      });
+      const runs = fleet.nodes.reduce((sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0), 0);
       if (answer.status === 200 && runs === 1 && answer.headers['x-request'] === id)
         counts.answered += 1;
       else if (answer.headers['barleyhaven-verdict'] === 'not-run' && runs === 0)
@@ -100,7 +102,7 @@
 }
 
 function pickProxy(fleet: Fleet, turn: number): { port: number } {
-  return { port: fleet.stations[turn % fleet.stations.length]!.instance.callerPort };
+  return { port: fleet.nodes[turn % fleet.nodes.length]!.instance.callerPort };
 }
 
 function disposable(value: Agent) {
@@ -113,10 +115,10 @@
     upstreams: ['listings', 'bookings', 'listings', 'bookings'],
     delayMs: 5,
   });
-  const [first] = fleet.stations;
-  const size = fleet.stations.length;
+  const [first] = fleet.nodes;
+  const size = fleet.nodes.length;
   const isJoined = () =>
-    fleet.stations.every(
+    fleet.nodes.every(
       ({ instance }) =>
         instance.isReady &&
         instance.roster.live().filter((member) => member.endpoint?.state === 'ready').length ===
@@ -124,7 +126,7 @@
     );
   report(
     `${size} proxies in 3 data centres have joined the mesh and are ready`,
-    await fleet.until(isJoined, clock.now() + JOIN_TIMEOUT_MS),
+    await fleet.waitUntil(isJoined, clock.now() + JOIN_TIMEOUT_MS),
   );
   const client = new Client(`127.0.0.1:${first!.instance.operatorsPort}`);
   await publish(fleet, client, FIRST_NOTE);
--- a/src/bench/deployment.ts
+++ b/src/bench/deployment.ts
@@ -7,7 +7,7 @@
 import { ResourceStack } from '../runtime/resource_stack.js';
 import { Client } from '../tool/client.js';
 import { BASELINE_VERSIONS_PREFIX, BASELINE_CONFIGURATION_KEY } from './baseline.js';
-import { getJson } from './http.js';
+import { getJson } from './json_client.js';
 import { initialNote } from './notes.js';
 import { Program, type Usage } from './processes.js';
 import { HttpPlatform } from '../platform/http_platform.js';
--- a/src/bench/experiments/added_latency.ts
+++ b/src/bench/experiments/added_latency.ts
@@ -1,9 +1,9 @@
 import { ReleaseNote } from '../../contracts.js';
 import { type Clock } from '../../runtime/clock.js';
 import { Experiment, type Options, type Result, rounded, LatencyHistogram } from '../experiment.js';
-import { getJson } from '../http.js';
+import { getJson } from '../json_client.js';
 import { countFaults, generateLoad, type LoadResult, totalRuns } from '../load.js';
-import { PlainProxyChain } from '../plain_hops.js';
+import { PlainProxyChain } from '../plain_proxy_chain.js';
 import { RequestPath } from '../request_path.js';
 
 const RATES = [1_000, 65] as const;
--- a/src/bench/experiments/control_bytes.ts
+++ b/src/bench/experiments/control_bytes.ts
@@ -1,8 +1,8 @@
 import { type Deployment, DaemonDeployment } from '../deployment.js';
 import { Experiment, type Options, type Result, rounded } from '../experiment.js';
 import { changeNote } from '../notes.js';
-import { SERVICES, compareWithBaseline } from '../side_by_side.js';
-import { type IdleUsage, measureIdle } from '../idle.js';
+import { SERVICES, compareWithBaseline } from '../baseline_comparison.js';
+import { type IdleUsage, measureIdle } from '../idle_usage.js';
 
 const VERSIONS = 10;
 const IDLE_MS = 10_000;
--- a/src/bench/experiments/convergence.ts
+++ b/src/bench/experiments/convergence.ts
@@ -1,8 +1,8 @@
 import { type Deployment, DaemonDeployment, type Proxy } from '../deployment.js';
 import { Experiment, type Options, type Result, rounded, LatencyHistogram } from '../experiment.js';
-import { platformCalls } from '../http.js';
+import { platformCalls } from '../json_client.js';
 import { changeNote } from '../notes.js';
-import { SERVICES, compareWithBaseline } from '../side_by_side.js';
+import { SERVICES, compareWithBaseline } from '../baseline_comparison.js';
 
 const VERSIONS = 60;
 const GAP_MS = 60;
--- a/src/bench/experiments/herd.ts
+++ b/src/bench/experiments/herd.ts
@@ -5,9 +5,9 @@
   type Proxy,
 } from '../deployment.js';
 import { Experiment, type Options, type Result } from '../experiment.js';
-import { getJson, platformCalls } from '../http.js';
+import { getJson, platformCalls } from '../json_client.js';
 import { changeNote } from '../notes.js';
-import { SERVICES, compareWithBaseline } from '../side_by_side.js';
+import { SERVICES, compareWithBaseline } from '../baseline_comparison.js';
 
 const DEADLINE_MS = 30_000;
 const SETTLE_MS = 3_000;
--- a/src/bench/experiments/rollout.ts
+++ b/src/bench/experiments/rollout.ts
@@ -1,6 +1,6 @@
 import { Experiment, type Options, type Result, rounded } from '../experiment.js';
-import { type BehaviourName, BEHAVIOURS } from '../rollouts/conduct.js';
-import { type RolloutResult, simulateRollout } from '../rollouts/trial_run.js';
+import { type BehaviourName, BEHAVIOURS } from '../rollouts/version_behaviour.js';
+import { type RolloutResult, simulateRollout } from '../rollouts/rollout_simulation.js';
 
 const RUNS = 200;
 const REQUESTS_PER_SECOND_EACH = 30;
--- a/src/bench/experiments/slopes.ts
+++ b/src/bench/experiments/slopes.ts
@@ -1,7 +1,7 @@
 import { type DeploymentOptions, DaemonDeployment } from '../deployment.js';
 import { Experiment, type Options, type Result, rounded, LatencyHistogram } from '../experiment.js';
-import { platformCalls } from '../http.js';
-import { measureIdle } from '../idle.js';
+import { platformCalls } from '../json_client.js';
+import { measureIdle } from '../idle_usage.js';
 import { changeNote } from '../notes.js';
 
 const SETTLE_MS = 2_000;
--- a/src/bench/fleet.ts
+++ b/src/bench/fleet.ts
@@ -17,7 +17,7 @@
 }
 
 /** An instance of the daemon with the upstream instance that it serves. */
-export interface Station {
+export interface FleetNode {
   readonly instance: Instance;
   readonly upstream: UpstreamServer;
 }
@@ -25,7 +25,7 @@
 const POLL_MS = 5;
 
 export class Fleet implements AsyncDisposable {
-  readonly stations: Station[] = [];
+  readonly nodes: FleetNode[] = [];
 
   private constructor(
     readonly platform: PlatformServer,
@@ -46,7 +46,7 @@
   }
 
   /** Resolves to true once `condition` holds, or to false at the deadline. */
-  async until(condition: () => boolean, deadline: number): Promise<boolean> {
+  async waitUntil(condition: () => boolean, deadline: number): Promise<boolean> {
     while (!condition()) {
       if (this.clock.now() >= deadline) return false;
       await this.clock.sleepUntil(this.clock.now() + POLL_MS);
@@ -65,7 +65,7 @@
     { delayMs = 0 }: FleetOptions,
   ): Promise<void> {
     const { clock } = this;
-    const [first] = this.stations;
+    const [first] = this.nodes;
     const peers = first ? `127.0.0.1:${first.instance.roster.self.linkPort}` : '';
     const settings = readSettings(
       {
@@ -88,6 +88,6 @@
       await UpstreamServer.start(clock, { upstream: upstreamName, delayMs }),
     );
     void upstream.announceTo(instance.operatorsPort);
-    this.stations.push({ instance, upstream });
+    this.nodes.push({ instance, upstream });
   }
 }
--- a/src/bench/caller.ts
+++ b/src/bench/http_client.ts
@@ -19,7 +19,7 @@
 }
 
 /** Resolves to the complete answer; rejects if the connection fails or the answer is truncated. */
-export function ask(requestOptions: RequestOptions): Promise<Answer> {
+export function sendRequest(requestOptions: RequestOptions): Promise<Answer> {
   const { host = '127.0.0.1', port, path, method = 'GET', headers, body, agent } = requestOptions;
   return new Promise((resolve, reject) => {
     const options = { host, port, path, method, headers, agent };
--- a/src/bench/http.ts
+++ b/src/bench/json_client.ts
@@ -1,12 +1,12 @@
 /** JSON requests to operators' ports and to the platform stand-in. */
 import { Agent } from 'node:http';
 import { type CallCounts } from '../standins/platform_store.js';
-import { ask } from './caller.js';
+import { sendRequest } from './http_client.js';
 
 const agent = new Agent({ keepAlive: true });
 
 export async function getJson<T>(port: number, path: string): Promise<T> {
-  const { body } = await ask({ port, path, agent });
+  const { body } = await sendRequest({ port, path, agent });
   return JSON.parse(body) as T;
 }
 
--- a/src/bench/load.ts
+++ b/src/bench/load.ts
@@ -1,7 +1,7 @@
 /** Open-loop load: requests are sent at a fixed rate, whether or not earlier ones were answered. */
 import { Agent } from 'node:http';
 import { type Clock } from '../runtime/clock.js';
-import { type Answer, ask } from './caller.js';
+import { type Answer, sendRequest } from './http_client.js';
 import { LatencyHistogram } from './experiment.js';
 
 export interface LoadOptions {
@@ -43,7 +43,7 @@
     const headers = { ...options.headers, 'x-request': id };
     const { path, method = 'GET' } = options;
     try {
-      const answer = await ask({ port, path, method, headers, agent });
+      const answer = await sendRequest({ port, path, method, headers, agent });
       if (isAnswerTo(answer, id)) {
         times.add(clock.now() - sentAt);
         answered.add(id);
--- a/src/bench/main.ts
+++ b/src/bench/main.ts
@@ -2,7 +2,7 @@
 import { cac } from 'cac';
 import { MachineClock } from '../runtime/clock.js';
 import { type Experiment } from './experiment.js';
-import { drawCharts } from './drawing.js';
+import { drawCharts } from './charts.js';
 import { saveResult, RESULTS_FOLDER } from './results.js';
 import { AddedLatency } from './experiments/added_latency.js';
 import { Cold } from './experiments/cold.js';
@@ -13,7 +13,7 @@
 import { RolloutSimulations } from './experiments/rollout.js';
 import { Slopes } from './experiments/slopes.js';
 import { replayCommand } from './replay/command.js';
-import { StealTime } from './stolen_time.js';
+import { StealTime } from './steal_time.js';
 
 const clock = new MachineClock();
 const DEFAULT_SEED = 1;
--- a/src/bench/mesh_fleet.ts
+++ b/src/bench/mesh_fleet.ts
@@ -21,7 +21,7 @@
 } from '../standins/mesh_machine.js';
 import { MeshUpstream, type MeshUpstreamOptions } from '../standins/mesh_upstream.js';
 import { PlatformServer } from '../standins/platform_server.js';
-import { ask } from './caller.js';
+import { sendRequest } from './http_client.js';
 import { Program } from './processes.js';
 
 export interface MeshFleetOptions extends MeshUpstreamOptions {
@@ -99,7 +99,7 @@
   async call(index: number, route: number): Promise<boolean> {
     const { services } = this.options;
     this.#requestCount += 1;
-    const { status } = await ask({
+    const { status } = await sendRequest({
       host: this.machines[index]!.host,
       port: PORTS.outbound,
       path: `/${services[route % services.length]}/${route}/${this.#requestCount}`,
@@ -148,7 +148,7 @@
 
 async function isReady(host: string): Promise<boolean> {
   try {
-    return (await ask({ host, port: PORTS.ready, path: '/' })).status === OK;
+    return (await sendRequest({ host, port: PORTS.ready, path: '/' })).status === OK;
   } catch {
     return false;
   }
--- a/src/bench/replay/replay.ts
+++ b/src/bench/replay/replay.ts
@@ -1,11 +1,11 @@
 /** Replays load patterns in virtual time. */
 import { TimerClock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { type Summary } from './books.js';
+import { type Summary } from './replay_stats.js';
 import { type Pattern } from './pattern.js';
 import { FormerPolicy, CurrentPolicy, type Policy, SimplePolicy } from './policy.js';
 import { inVirtualTime } from './virtual_time.js';
-import { Simulation } from './world.js';
+import { Simulation } from './simulation.js';
 
 export const POLICIES: readonly Policy[] = [
   new CurrentPolicy(),
--- a/src/bench/replay/station.ts
+++ b/src/bench/replay/simulated_node.ts
@@ -17,8 +17,8 @@
 import { type Random } from '../../runtime/random.js';
 import { type Kind } from './pattern.js';
 import { type Limiter, type Policy } from './policy.js';
-import { NetworkLink } from './wire.js';
-import { type Simulation } from './world.js';
+import { NetworkLink } from './network_link.js';
+import { type Simulation } from './simulation.js';
 
 /** One-way latency within a data centre and to another one, in milliseconds. */
 const LOCAL_LATENCY_MS = 1;
--- a/src/bench/replay/world.ts
+++ b/src/bench/replay/simulation.ts
@@ -2,11 +2,11 @@
 import { asOutcome, type Member } from '../../contracts.js';
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
-import { ReplayStats } from './books.js';
+import { ReplayStats } from './replay_stats.js';
 import { type Kind, type Pattern } from './pattern.js';
 import { type Policy } from './policy.js';
-import { type SimulatedCaller, SimulatedNode } from './station.js';
-import { dataCentresOf, ChangeSchedule } from './weather.js';
+import { type SimulatedCaller, SimulatedNode } from './simulated_node.js';
+import { dataCentresOf, ChangeSchedule } from './change_schedule.js';
 
 const MS_PER_SECOND = 1_000;
 /** One-way latency between callers and their data centre, in milliseconds. */
--- a/src/bench/request_path.ts
+++ b/src/bench/request_path.ts
@@ -2,7 +2,7 @@
 import { type ReleaseNoteInput, ReleaseNote } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { DaemonDeployment, type Proxy } from './deployment.js';
-import { getJson } from './http.js';
+import { getJson } from './json_client.js';
 import { Program } from './processes.js';
 
 export interface RequestPathOptions {
--- a/src/bench/rollouts/trial_run.ts
+++ b/src/bench/rollouts/rollout_simulation.ts
@@ -5,7 +5,7 @@
 import { orderNameOf } from '../../rollout/orders.js';
 import { trialEndpointCount, phaseShare, mayComplete, nextPhase } from '../../rollout/steps.js';
 import { type Random, SeededRandom } from '../../runtime/random.js';
-import { type VersionBehaviour, SOUND } from './conduct.js';
+import { type VersionBehaviour, SOUND } from './version_behaviour.js';
 
 const TICK_MS = 50;
 const SLOTS = 6;
--- a/src/test/claims/once_test.ts
+++ b/src/test/claims/once_test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { createServer, request, type Server } from 'node:http';
 import { expect } from 'chai';
-import { ask, type Answer } from '../../bench/caller.js';
+import { sendRequest, type Answer } from '../../bench/http_client.js';
 import { Claims } from '../../claims/claims.js';
 import { Guard } from '../../requests/guard.js';
 import { MAX_OUTCOME_BODY_BYTES } from '../../claims/outcome.js';
@@ -68,7 +68,7 @@
   }
 
   function book(port: number, body = 'seat=12'): Promise<Answer> {
-    return ask({ port, path: '/seats', method: 'POST', headers: headers(), body });
+    return sendRequest({ port, path: '/seats', method: 'POST', headers: headers(), body });
   }
 
   async function bookUntil(port: number, status: number): Promise<Answer> {
--- a/src/test/daemon/request_meter_test.ts
+++ b/src/test/daemon/request_meter_test.ts
@@ -1,6 +1,6 @@
 import { expect } from 'chai';
 import { createServer, request } from 'node:http';
-import { ask } from '../../bench/caller.js';
+import { sendRequest } from '../../bench/http_client.js';
 import { RequestMeter } from '../../daemon/request_meter.js';
 import { OutcomeError } from '../../contracts.js';
 import { refuse } from '../../requests/refusal.js';
@@ -23,8 +23,8 @@
     });
     const meter = new RequestMeter(server, new MachineClock());
     const port = await listen(server);
-    await ask({ port, path: '/' });
-    await ask({ port, path: '/refused' });
+    await sendRequest({ port, path: '/' });
+    await sendRequest({ port, path: '/refused' });
     await new Promise<void>((resolve) => {
       const outgoing = request({ port, path: '/cut' }, (answer) => {
         answer.resume();
--- a/src/test/daemon/stop_test.ts
+++ b/src/test/daemon/stop_test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { Agent } from 'node:http';
 import { expect } from 'chai';
-import { Fleet, type Station } from '../../bench/fleet.js';
+import { Fleet, type FleetNode } from '../../bench/fleet.js';
 import { ReleaseNote } from '../../contracts.js';
 import { MachineClock } from '../../runtime/clock.js';
 import { Client } from '../../tool/client.js';
@@ -21,15 +21,15 @@
 async function startFleet(): Promise<Fleet> {
   const upstreams = ['bookings', 'bookings'];
   const fleet = await Fleet.start(clock, { dataCentres: ['arima'], upstreams });
-  const [first] = fleet.stations;
-  const knowsBothEndpoints = ({ instance }: Station) =>
+  const [first] = fleet.nodes;
+  const knowsBothEndpoints = ({ instance }: FleetNode) =>
     instance.isReady &&
     instance.roster.live().filter((member) => member.endpoint?.state === 'ready').length === 2;
   const deadline = clock.now() + LONG_MS;
-  await fleet.until(() => fleet.stations.every(knowsBothEndpoints), deadline);
+  await fleet.waitUntil(() => fleet.nodes.every(knowsBothEndpoints), deadline);
   await new Client(`127.0.0.1:${first!.instance.operatorsPort}`).call('submit', NOTE);
-  await fleet.until(
-    () => fleet.stations.every(({ instance }) => instance.replica.current.number === 1),
+  await fleet.waitUntil(
+    () => fleet.nodes.every(({ instance }) => instance.replica.current.number === 1),
     deadline,
   );
   return fleet;
@@ -43,7 +43,7 @@
   // while one with bookings in flight stops. Its upstream instance must start no later booking.
   it('finishes requests in flight and starts no new ones upstream', async () => {
     await using fleet = await startFleet();
-    const [leaving, staying] = fleet.stations as [Station, Station];
+    const [leaving, staying] = fleet.nodes as [FleetNode, FleetNode];
     const { callerPort } = leaving.instance;
     const agent = new Agent({ keepAlive: true });
     staying.upstream.delayMs = 50;
@@ -72,13 +72,13 @@
   // see a closed connection, never a partial response that looks complete.
   it('waits no longer than its deadline', async () => {
     await using fleet = await startFleet();
-    const [leaving] = fleet.stations as [Station];
-    for (const { upstream } of fleet.stations) upstream.delayMs = LONG_MS * 6;
+    const [leaving] = fleet.nodes as [FleetNode];
+    for (const { upstream } of fleet.nodes) upstream.delayMs = LONG_MS * 6;
     const cut = book(leaving.instance.callerPort, 'stuck').then(
       ({ status }) => status,
       (error: NodeJS.ErrnoException) => error.code,
     );
-    await Promise.race(fleet.stations.map(({ upstream }) => once(upstream, 'run')));
+    await Promise.race(fleet.nodes.map(({ upstream }) => once(upstream, 'run')));
     await leaving.instance.stop(clock.now());
     await leaving.instance.entry[Symbol.asyncDispose]();
     expect(await cut).to.equal('ECONNRESET');
--- a/src/test/quarantine/crash_detector_test.ts
+++ b/src/test/quarantine/crash_detector_test.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server } from 'node:http';
 import { expect } from 'chai';
-import { ask, type Answer } from '../../bench/caller.js';
+import { sendRequest, type Answer } from '../../bench/http_client.js';
 import { type Bulletin, type EndpointState } from '../../contracts.js';
 import { CrashDetector } from '../../quarantine/crash_detector.js';
 import { Guard } from '../../requests/guard.js';
@@ -85,7 +85,7 @@
 
   function book({ port }: Pick<GuardedUpstream, 'port'>, body: string): Promise<Answer> {
     const headers = { 'barleyhaven-upstream': 'bookings', 'barleyhaven-remaining-ms': '5000' };
-    return ask({ port, path: '/seats', method: 'POST', headers, body });
+    return sendRequest({ port, path: '/seats', method: 'POST', headers, body });
   }
 
   /** Sends the poison request and waits until the death is known. */
--- a/src/test/requests/safeguards_test.ts
+++ b/src/test/requests/safeguards_test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { ask, type Answer } from '../../bench/caller.js';
+import { sendRequest, type Answer } from '../../bench/http_client.js';
 import { Fleet } from '../../bench/fleet.js';
 import { ReleaseNote } from '../../contracts.js';
 import { MachineClock } from '../../runtime/clock.js';
@@ -23,34 +23,34 @@
     const dataCentres = ['arima', 'amman'];
     fleet = await Fleet.start(clock, { dataCentres, upstreams: ['bookings', 'bookings'] });
     await until(() =>
-      fleet.stations.every(({ instance }) => instance.isReady && seesAllReady(instance)),
+      fleet.nodes.every(({ instance }) => instance.isReady && seesAllReady(instance)),
     );
-    await fleet.stations[0]!.instance.source.submit(NOTE, clock.now() + WAIT_TIMEOUT_MS);
-    await until(() => fleet.stations.every(({ instance }) => instance.replica.current.number > 0));
+    await fleet.nodes[0]!.instance.source.submit(NOTE, clock.now() + WAIT_TIMEOUT_MS);
+    await until(() => fleet.nodes.every(({ instance }) => instance.replica.current.number > 0));
   });
 
   after(() => fleet[Symbol.asyncDispose]());
 
-  function seesAllReady({ roster }: Fleet['stations'][number]['instance']): boolean {
+  function seesAllReady({ roster }: Fleet['nodes'][number]['instance']): boolean {
     const ready = roster.live().filter(({ endpoint }) => endpoint?.state === 'ready');
-    return ready.length === fleet.stations.length;
+    return ready.length === fleet.nodes.length;
   }
 
   async function until(condition: () => boolean): Promise<void> {
-    expect(await fleet.until(condition, clock.now() + WAIT_TIMEOUT_MS)).to.equal(true);
+    expect(await fleet.waitUntil(condition, clock.now() + WAIT_TIMEOUT_MS)).to.equal(true);
   }
 
   function book(index: number, headers: Record<string, string>, body = 'seat 12'): Promise<Answer> {
-    const { callerPort: port } = fleet.stations[index]!.instance;
-    return ask({ port, path: '/seats/1', method: 'POST', headers, body });
+    const { callerPort: port } = fleet.nodes[index]!.instance;
+    return sendRequest({ port, path: '/seats/1', method: 'POST', headers, body });
   }
 
   function knownDeaths(): number[] {
-    return fleet.stations.map(({ instance }) => instance.safeguards.quarantine.deaths);
+    return fleet.nodes.map(({ instance }) => instance.safeguards.quarantine.deaths);
   }
 
   function runs(id: string): number {
-    return fleet.stations.reduce((sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0), 0);
+    return fleet.nodes.reduce((sum, { upstream }) => sum + (upstream.runs.get(id) ?? 0), 0);
   }
 
   // Guards against a booking that runs twice when it reaches all four processes in both data centres
--- a/src/test/tool/main_test.ts
+++ b/src/test/tool/main_test.ts
@@ -17,7 +17,7 @@
       dataCentres: ['arima'],
       upstreams: ['listings'],
     });
-    const port = fleet.stations[0]!.instance.operatorsPort;
+    const port = fleet.nodes[0]!.instance.operatorsPort;
     const folder = await mkdtemp(join(tmpdir(), 'barleyhaven-'));
     const file = join(folder, 'note.yaml');
     await writeFile(file, NOTE);
