--- a/src/bench/acceptance.ts
+++ b/src/bench/acceptance.ts
@@ -10,7 +10,7 @@
 import { HttpPlatform } from '../platform/http_platform.js';
 import { MachineClock } from '../runtime/clock.js';
 import { SeededRandom } from '../runtime/random.js';
-import { Log } from '../source/log.js';
+import { VersionLog } from '../source/log.js';
 import { LogFeed } from '../source/log_feed.js';
 import { Snapshots } from '../source/snapshots.js';
 import { Source } from '../source/source.js';
@@ -52,7 +52,7 @@
 async function startReader(server: PlatformServer, hasSnapshots: boolean) {
   await using platform = new HttpPlatform(server.url, clock);
   const replica = new Replica();
-  const log = new Log(platform);
+  const log = new VersionLog(platform);
   const nothing = new PlatformStore(clock);
   const snapshots = new Snapshots(hasSnapshots ? platform : nothing, log);
   const ranking = { isReader: true } as Ranking;
--- a/src/bench/http_client.ts
+++ b/src/bench/http_client.ts
@@ -12,14 +12,14 @@
   readonly agent?: Agent;
 }
 
-export interface Answer {
+export interface HttpResponse {
   readonly status: number;
   readonly headers: NodeJS.Dict<string | string[]>;
   readonly body: string;
 }
 
 /** Resolves to the complete answer; rejects if the connection fails or the answer is truncated. */
-export function sendRequest(requestOptions: RequestOptions): Promise<Answer> {
+export function sendRequest(requestOptions: RequestOptions): Promise<HttpResponse> {
   const { host = '127.0.0.1', port, path, method = 'GET', headers, body, agent } = requestOptions;
   return new Promise((resolve, reject) => {
     const options = { host, port, path, method, headers, agent };
--- a/src/bench/load.ts
+++ b/src/bench/load.ts
@@ -1,7 +1,7 @@
 /** Open-loop load: requests are sent at a fixed rate, whether or not earlier ones were answered. */
 import { Agent } from 'node:http';
 import { type Clock } from '../runtime/clock.js';
-import { type Answer, sendRequest } from './http_client.js';
+import { type HttpResponse, sendRequest } from './http_client.js';
 import { LatencyHistogram } from './experiment.js';
 
 export interface LoadOptions {
@@ -65,7 +65,7 @@
   return { times, answered, notRun, unexpected };
 }
 
-function isAnswerTo({ status, headers, body }: Answer, id: string): boolean {
+function isAnswerTo({ status, headers, body }: HttpResponse, id: string): boolean {
   return status === 200 && headers['x-request'] === id && body.includes(id);
 }
 
--- a/src/bench/replay/change_schedule.ts
+++ b/src/bench/replay/change_schedule.ts
@@ -1,5 +1,5 @@
 /** The effects of a pattern's scheduled changes at an instant. */
-import { type Change, type Pattern } from './pattern.js';
+import { type PatternChange, type Pattern } from './pattern.js';
 
 const MS_PER_SECOND = 1_000;
 
@@ -42,7 +42,7 @@
 
   /** How often all processes have restarted until `now`. */
   restartCount(now: number): number {
-    const isOver = ({ what, at, forSeconds }: Change) =>
+    const isOver = ({ what, at, forSeconds }: PatternChange) =>
       what === 'herd' && now >= this.startAt + (at + forSeconds) * MS_PER_SECOND;
     return this.pattern.changes.filter(isOver).length;
   }
@@ -54,17 +54,17 @@
     );
   }
 
-  #shiftFactor({ share, dataCentre }: Change, here: string): number {
+  #shiftFactor({ share, dataCentre }: PatternChange, here: string): number {
     const dataCentres = dataCentresOf(this.pattern).length;
     return here === dataCentre ? 1 + share * (dataCentres - 1) : 1 - share;
   }
 
   #activeFor(
-    what: Change['what'],
+    what: PatternChange['what'],
     upstream: string,
     index: number,
     now: number,
-  ): Change | undefined {
+  ): PatternChange | undefined {
     const size = this.pattern.upstreams.find(({ name }) => name === upstream)!.instances.length;
     return this.#active(now).find(
       (change) =>
@@ -74,7 +74,7 @@
     );
   }
 
-  #active(now: number): Change[] {
+  #active(now: number): PatternChange[] {
     const second = (now - this.startAt) / MS_PER_SECOND;
     return this.pattern.changes.filter(
       ({ at, forSeconds }) => second >= at && second < at + forSeconds,
--- a/src/bench/replay/pattern.ts
+++ b/src/bench/replay/pattern.ts
@@ -11,10 +11,10 @@
   linkKbps: z.number().positive().optional(),
 });
 
-const Upstream = z.object({ name: z.string(), instances: z.array(Instances).min(1) });
+const PatternUpstream = z.object({ name: z.string(), instances: z.array(Instances).min(1) });
 
 /** A kind of request. Times are in milliseconds. */
-export const Kind = z.object({
+export const RequestKind = z.object({
   name: z.string(),
   upstream: z.string(),
   /** External requests over all data centres; 0 for a kind that only other requests call. */
@@ -37,7 +37,7 @@
   /** A nested request that a share of these requests makes while holding its slot. */
   call: z.object({ kind: z.string(), share: z.number().min(0).max(1) }).optional(),
 });
-export type Kind = z.infer<typeof Kind>;
+export type RequestKind = z.infer<typeof RequestKind>;
 
 /**
  * A change that begins at second `at`.
@@ -49,7 +49,7 @@
  * - `cut`: network partition between `dataCentre` and all others.
  * - `herd`: all processes are down, and restart with no state.
  */
-const Change = z.object({
+const PatternChange = z.object({
   what: z.enum(['burst', 'shift', 'slow', 'grey', 'gone', 'cut', 'herd']),
   at: z.number().min(0),
   forSeconds: z.number().positive(),
@@ -58,7 +58,7 @@
   upstream: z.string().optional(),
   dataCentre: z.string().optional(),
 });
-export type Change = z.infer<typeof Change>;
+export type PatternChange = z.infer<typeof PatternChange>;
 
 export const Pattern = z
   .object({
@@ -66,9 +66,9 @@
     /** Purpose of the pattern, and what a caller observes. */
     about: z.string(),
     seconds: z.number().positive().max(600),
-    upstreams: z.array(Upstream).min(1),
-    kinds: z.array(Kind).min(1),
-    changes: z.array(Change).default([]),
+    upstreams: z.array(PatternUpstream).min(1),
+    kinds: z.array(RequestKind).min(1),
+    changes: z.array(PatternChange).default([]),
   })
   .superRefine(({ kinds, upstreams }, context) => {
     const served = new Set(upstreams.map(({ name }) => name));
--- a/src/bench/replay/replay_stats.ts
+++ b/src/bench/replay/replay_stats.ts
@@ -1,7 +1,7 @@
 /** Counts how callers were served and how much worth was earned. */
 import { type Verdict } from '../../contracts.js';
 import { rounded } from '../experiment.js';
-import { type Kind } from './pattern.js';
+import { type RequestKind } from './pattern.js';
 
 /** Worth of a late answer as a share of one in time. */
 const LATE_SHARE = 0.5;
@@ -49,7 +49,7 @@
 
   constructor(private readonly startAt: number) {}
 
-  recordServed(kind: Kind, dataCentre: string, firstAt: number, now: number): void {
+  recordServed(kind: RequestKind, dataCentre: string, firstAt: number, now: number): void {
     const isLate = now > firstAt + kind.targetMs;
     this.#counts.asked += 1;
     this.#counts[isLate ? 'late' : 'inTarget'] += 1;
@@ -57,7 +57,7 @@
   }
 
   recordLost(
-    kind: Kind,
+    kind: RequestKind,
     dataCentre: string,
     firstAt: number,
     verdict: Verdict,
@@ -89,7 +89,7 @@
     };
   }
 
-  #add(kind: Kind, dataCentre: string, firstAt: number, share: number): void {
+  #add(kind: RequestKind, dataCentre: string, firstAt: number, share: number): void {
     const window = String(Math.floor((firstAt - this.startAt) / WINDOW_MS));
     const keys = { all: '', window, dataCentre, kind: kind.name };
     for (const [group, key] of Object.entries(keys) as [keyof typeof keys, string][]) {
--- a/src/bench/replay/simulated_node.ts
+++ b/src/bench/replay/simulated_node.ts
@@ -15,7 +15,7 @@
 import { withRetryTime } from '../../requests/retry_time.js';
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
-import { type Kind } from './pattern.js';
+import { type RequestKind } from './pattern.js';
 import { type Limiter, type Policy } from './policy.js';
 import { NetworkLink } from './network_link.js';
 import { type Simulation } from './simulation.js';
@@ -77,7 +77,7 @@
   }
 
   /** Handles a request as the entry does; rejects with the refusal. */
-  async handleAsEntry(kind: Kind, { asks, givesUpAt }: SimulatedCaller): Promise<void> {
+  async handleAsEntry(kind: RequestKind, { asks, givesUpAt }: SimulatedCaller): Promise<void> {
     const now = this.clock.now();
     this.#resetAfterRestart(this.simulation.schedule.restartCount(now));
     const caller = { asks, givesUpAt };
@@ -93,7 +93,7 @@
   }
 
   /** Handles a request as the guard does; resolves to whether the instance succeeded. */
-  async handleAsGuard(kind: Kind, ticket: Job): Promise<boolean> {
+  async handleAsGuard(kind: RequestKind, ticket: Job): Promise<boolean> {
     this.#resetAfterRestart(this.simulation.schedule.restartCount(this.clock.now()));
     const bytes = this.#guardAnswerSizes.largeAnswerBytes(kind.name);
     const heldMs = this.#limiter.heldMsOf(kind.name);
@@ -117,7 +117,7 @@
     return { ...this.#limiter.load, leavingMs: this.#uplink.backlogMs };
   }
 
-  #drawAnswerBytes({ answerBytes, answerSpread }: Kind): number {
+  #drawAnswerBytes({ answerBytes, answerSpread }: RequestKind): number {
     if (answerSpread === 0) return answerBytes;
     return answerBytes * (1 + answerSpread * (2 * this.random.next() - 1));
   }
@@ -154,7 +154,7 @@
     this.#retryBudgets = new RetryBudgets(clock, random);
   }
 
-  async #callWithRetries(kind: Kind, request: RoutedRequest): Promise<void> {
+  async #callWithRetries(kind: RequestKind, request: RoutedRequest): Promise<void> {
     const body = new EmptyBody();
     const attempts = new Attempts(request, body, this.#balancer, this.#retryBudgets, this.clock);
     let endpoint = attempts.first();
@@ -168,7 +168,7 @@
   }
 
   async #attempt(
-    kind: Kind,
+    kind: RequestKind,
     { deadline, targetAt, upstream }: RoutedRequest,
     endpoint: EndpointStats,
   ): Promise<OutcomeError | undefined> {
@@ -219,7 +219,7 @@
   }
 
   /** Runs a request at the upstream instance; resolves to whether it succeeded. */
-  async #execute(kind: Kind, deadline: number): Promise<boolean> {
+  async #execute(kind: RequestKind, deadline: number): Promise<boolean> {
     const { schedule } = this.simulation;
     const now = this.clock.now();
     if (this.random.next() < schedule.refusalRate(this.upstream, this.index, now)) {
@@ -235,7 +235,7 @@
     return this.#callNested(this.simulation.kindOf(call.kind), deadline);
   }
 
-  async #callNested(kind: Kind, deadline: number): Promise<boolean> {
+  async #callNested(kind: RequestKind, deadline: number): Promise<boolean> {
     const givesUpAt = Math.min(deadline, this.clock.now() + kind.waitMs);
     return this.handleAsEntry(kind, { asks: this.random.nonce(), givesUpAt }).then(
       () => true,
@@ -244,7 +244,7 @@
   }
 
   /** A routed request with only the fields that the decisions read. */
-  #routedRequest(kind: Kind, deadline: number, targetAt: number): RoutedRequest {
+  #routedRequest(kind: RequestKind, deadline: number, targetAt: number): RoutedRequest {
     const { name, upstream, isRepeatable } = kind;
     const response = {
       headersSent: false,
--- a/src/bench/replay/simulation.ts
+++ b/src/bench/replay/simulation.ts
@@ -3,7 +3,7 @@
 import { type Clock } from '../../runtime/clock.js';
 import { type Random } from '../../runtime/random.js';
 import { ReplayStats } from './replay_stats.js';
-import { type Kind, type Pattern } from './pattern.js';
+import { type RequestKind, type Pattern } from './pattern.js';
 import { type Policy } from './policy.js';
 import { type SimulatedCaller, SimulatedNode } from './simulated_node.js';
 import { dataCentresOf, ChangeSchedule } from './change_schedule.js';
@@ -59,7 +59,7 @@
     return this.#nodes.find(({ member }) => member.instance === instance)!;
   }
 
-  kindOf(name: string): Kind {
+  kindOf(name: string): RequestKind {
     return this.pattern.kinds.find((kind) => kind.name === name)!;
   }
 
@@ -81,7 +81,7 @@
   }
 
   /** Starts callers of a kind in a data centre as a Poisson process, until the pattern ends. */
-  async #generateLoad(kind: Kind, dataCentre: string, dataCentres: number): Promise<void> {
+  async #generateLoad(kind: RequestKind, dataCentre: string, dataCentres: number): Promise<void> {
     const endAt = this.#startAt + this.pattern.seconds * MS_PER_SECOND;
     for (;;) {
       const now = this.clock.now();
@@ -97,7 +97,7 @@
   }
 
   /** Runs a caller with its retries and records the result. */
-  async #runCaller(kind: Kind, dataCentre: string): Promise<void> {
+  async #runCaller(kind: RequestKind, dataCentre: string): Promise<void> {
     const firstAt = this.clock.now();
     const givesUpAt = firstAt + kind.waitMs * (1 - WAIT_VARIATION * this.random.next());
     const caller: SimulatedCaller = { asks: this.random.nonce(), givesUpAt };
@@ -126,7 +126,7 @@
     }
   }
 
-  async #attempt(kind: Kind, node: SimulatedNode, caller: SimulatedCaller) {
+  async #attempt(kind: RequestKind, node: SimulatedNode, caller: SimulatedCaller) {
     await this.clock.sleepUntil(this.clock.now() + CALLER_LATENCY_MS);
     try {
       if (this.schedule.areAllDown(this.clock.now())) throw new Error('all processes are down');
--- a/src/claims/claim_range.ts
+++ b/src/claims/claim_range.ts
@@ -5,15 +5,15 @@
 import { type Random } from '../runtime/random.js';
 import { unavailableError } from './claim_store.js';
 
-type Claims = Record<string, Claim>;
+type ClaimsById = Record<string, Claim>;
 
 /** A pending operation on the range. */
 interface Operation {
   readonly id: string;
   readonly deadline: number;
   /** Applies the operation to `claims`; idempotent. Returns whether `claims` changed. */
-  readonly apply: (claims: Claims) => boolean;
-  readonly succeed: (claims: Claims) => void;
+  readonly apply: (claims: ClaimsById) => boolean;
+  readonly succeed: (claims: ClaimsById) => void;
   readonly fail: (error: OutcomeError) => void;
 }
 
@@ -39,7 +39,7 @@
   ) {}
 
   acquire(id: string, claim: Claim, deadline: number): Promise<Claim> {
-    const apply = (claims: Claims) => {
+    const apply = (claims: ClaimsById) => {
       if (claims[id]) return false;
       claims[id] = claim;
       return true;
@@ -48,7 +48,7 @@
   }
 
   settle(id: string, claim: Claim, deadline: number): Promise<void> {
-    const apply = (claims: Claims) => {
+    const apply = (claims: ClaimsById) => {
       const held = claims[id];
       if (held?.nonce !== claim.nonce || held.outcome) return false;
       claims[id] = claim;
@@ -58,7 +58,7 @@
   }
 
   release(id: string, nonce: string, deadline: number): Promise<void> {
-    const apply = (claims: Claims) => {
+    const apply = (claims: ClaimsById) => {
       if (claims[id]?.nonce !== nonce) return false;
       delete claims[id];
       return true;
@@ -69,11 +69,11 @@
   #submit<T>(
     id: string,
     deadline: number,
-    apply: (claims: Claims) => boolean,
-    result: (claims: Claims) => T,
+    apply: (claims: ClaimsById) => boolean,
+    result: (claims: ClaimsById) => T,
   ): Promise<T> {
     return new Promise((resolve, reject) => {
-      const succeed = (claims: Claims) => resolve(result(claims));
+      const succeed = (claims: ClaimsById) => resolve(result(claims));
       this.#pending.push({ id, deadline, apply, succeed, fail: reject });
       if (!this.#isFlushing) void this.#flush();
     });
@@ -137,7 +137,7 @@
    */
   #answerUnchanged(
     batch: readonly Operation[],
-    claims: Claims,
+    claims: ClaimsById,
     stored: Stored | undefined,
     isFresh: boolean,
   ): boolean {
@@ -148,7 +148,7 @@
   }
 
   /** The unexpired claims. The next write drops the others, so ranges need no sweep. */
-  #unexpired({ value }: Stored): Claims {
+  #unexpired({ value }: Stored): ClaimsById {
     const now = this.clock.now();
     const { claims } = ClaimPage.parse(JSON.parse(value));
     return Object.fromEntries(Object.entries(claims).filter(([, claim]) => claim.expiresAt > now));
--- a/src/claims/claims.ts
+++ b/src/claims/claims.ts
@@ -24,7 +24,7 @@
   | { readonly kind: 'replay'; readonly outcome: Outcome };
 
 /** How long claims are kept, and so how long at-most-once execution holds, in milliseconds. */
-export const RETENTION_MS = 3_600_000;
+export const CLAIM_RETENTION_MS = 3_600_000;
 /** Timeout for creating a claim, in milliseconds; better to have the caller retry than wait. */
 const ACQUIRE_TIMEOUT_MS = 1_000;
 /** How long a request waits for the release of a claim, in milliseconds. */
@@ -105,7 +105,7 @@
       fingerprint,
       holder: this.instance,
       runBy: deadline,
-      expiresAt: Math.max(now, deadline) + RETENTION_MS,
+      expiresAt: Math.max(now, deadline) + CLAIM_RETENTION_MS,
     };
     const held = this.#track(id, claim);
     const stored = await this.#acquireFromStore(
--- a/src/claims/once.ts
+++ b/src/claims/once.ts
@@ -5,7 +5,7 @@
 import { type Claims } from './claims.js';
 import { fingerprintOf, peekBody } from './fingerprint.js';
 import { type HeldClaim } from './held_claim.js';
-import { replay } from './outcome.js';
+import { replayOutcome } from './outcome.js';
 
 /** A request with an idempotency key, at the process beside the upstream. */
 export interface OnceRequest {
@@ -33,7 +33,7 @@
   const fingerprint = fingerprintOf(request, peeked);
   const admission = await claims.admit({ route, key, fingerprint, deadline });
   if (admission.kind === 'replay') {
-    replay(response, admission.outcome);
+    replayOutcome(response, admission.outcome);
     return;
   }
   await using claim = admission.claim;
--- a/src/claims/outcome.ts
+++ b/src/claims/outcome.ts
@@ -42,7 +42,7 @@
 }
 
 /** Answers with a recorded outcome. Throws `answer-not-kept` (`ran`) if its body was too large. */
-export function replay(response: ServerResponse, { status, headers, body }: Outcome): void {
+export function replayOutcome(response: ServerResponse, { status, headers, body }: Outcome): void {
   if (body === undefined) {
     const props = { verdict: 'ran', reason: 'answer-not-kept' } as const;
     throw new OutcomeError(
--- a/src/distribution/instance_versions.ts
+++ b/src/distribution/instance_versions.ts
@@ -2,7 +2,7 @@
 import { type Member } from '../contracts.js';
 import { setBounded } from '../runtime/bounded_map.js';
 
-interface Entry {
+interface InstanceVersion {
   /** Latest incarnation heard from. */
   readonly incarnation: number;
   /** Highest version heard from that incarnation. */
@@ -17,7 +17,7 @@
 const MAX_ENTRIES = 4_096;
 
 export class InstanceVersions {
-  readonly #entries = new Map<string, Entry>();
+  readonly #entries = new Map<string, InstanceVersion>();
 
   /**
    * Records that a member holds a version. `isUpperBound` states that its instance has never held a
@@ -45,11 +45,11 @@
 }
 
 function updatedEntry(
-  entry: Entry | undefined,
+  entry: InstanceVersion | undefined,
   incarnation: number,
   version: number,
   isUpperBound: boolean,
-): Entry {
+): InstanceVersion {
   if (!entry) return { incarnation, version, isUpperBound, earlier: undefined };
   if (incarnation > entry.incarnation) {
     const earlier = entry.isUpperBound ? entry.version : undefined;
--- a/src/distribution/replica.ts
+++ b/src/distribution/replica.ts
@@ -26,7 +26,7 @@
 }
 
 /** How a version reached this process: from the source, or from a peer in one of four ways. */
-export type Origin = 'source' | 'push' | 'pull' | 'difference' | 'pages';
+export type VersionOrigin = 'source' | 'push' | 'pull' | 'difference' | 'pages';
 
 /** Number of recent versions kept, so that neighbours slightly behind need no snapshot. */
 const MAX_RECENT_VERSIONS = 256;
@@ -48,7 +48,7 @@
 
   #refusal: Refusal | undefined;
 
-  #origin: Origin = 'source';
+  #origin: VersionOrigin = 'source';
 
   readonly #listeners = new Set<(versions: readonly Version[]) => void>();
 
@@ -59,7 +59,7 @@
   onServedOlder: (served: number) => void = () => {};
 
   /** How the current version reached this process. */
-  get origin(): Origin {
+  get origin(): VersionOrigin {
     return this.#origin;
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Applies the versions that follow without a gap; false if there is a gap or a refusal. */
-  apply(versions: readonly Version[], origin: Origin = 'source'): boolean {
+  apply(versions: readonly Version[], origin: VersionOrigin = 'source'): boolean {
     const applied: Version[] = [];
     let isApplied = true;
     for (const version of versions) {
@@ -119,7 +119,7 @@
   }
 
   /** Replaces the configuration by a snapshot if that is newer; false if it was refused. */
-  install(snapshot: Snapshot, origin: Origin = 'pages'): boolean {
+  install(snapshot: Snapshot, origin: VersionOrigin = 'pages'): boolean {
     if (snapshot.number <= this.#current.number) {
       this.onServedOlder(snapshot.number);
       return true;
--- a/src/logs/tally.ts
+++ b/src/logs/tally.ts
@@ -4,8 +4,8 @@
 import { type Log } from './log.js';
 import { type RequestEnd, isServed } from './request_log.js';
 
-type Line = Extract<ProcessEvent, { readonly event: 'tally' }>;
-type Counts = { -readonly [Field in keyof Line]: Line[Field] };
+type TallyLine = Extract<ProcessEvent, { readonly event: 'tally' }>;
+type Counts = { -readonly [Field in keyof TallyLine]: TallyLine[Field] };
 
 const WINDOW_MS = 1_000;
 /** Routes counted separately per second; a scan over thousands would otherwise fill the log. */
--- a/src/membership/directory.ts
+++ b/src/membership/directory.ts
@@ -7,7 +7,7 @@
 import { type Ranking } from './ranking.js';
 import { type Registration, registrationOf, Registrations, recordOf } from './registration.js';
 import { type Roster } from './roster.js';
-import { isGone } from './member_record.js';
+import { isDeadOrLeft } from './member_record.js';
 
 const PREFIX = 'directory/';
 
@@ -137,7 +137,7 @@
   #removable(registered: readonly Registration[]): Registration[] {
     const dead = registered.filter(({ instance, incarnation }) => {
       const known = this.roster.get(instance);
-      return known && isGone(known) && known.incarnation >= incarnation;
+      return known && isDeadOrLeft(known) && known.incarnation >= incarnation;
     });
     return dead.slice(0, MAX_REMOVED_PER_WRITE);
   }
--- a/src/membership/dissemination.ts
+++ b/src/membership/dissemination.ts
@@ -5,7 +5,7 @@
 import { type Methods, type Peer } from '../link/peer.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { type Origin, type Roster } from './roster.js';
+import { type UpdateOrigin, type Roster } from './roster.js';
 import { isNewer } from './member_record.js';
 
 /**
@@ -75,7 +75,7 @@
     await Promise.race([Promise.allSettled(sending), aborted(isConfirmed.signal)]);
   }
 
-  #enqueue(members: readonly Member[], origin: Origin): void {
+  #enqueue(members: readonly Member[], origin: UpdateOrigin): void {
     for (const member of members) {
       // A changed record about this process is a refutation, not the record that was received.
       const isOwn = member.instance === this.roster.self.instance;
--- a/src/membership/link_maintenance.ts
+++ b/src/membership/link_maintenance.ts
@@ -6,7 +6,7 @@
 import { type Random } from '../runtime/random.js';
 import { type Ranking } from './ranking.js';
 import { type Roster } from './roster.js';
-import { isGone } from './member_record.js';
+import { isDeadOrLeft } from './member_record.js';
 
 /** First and highest cap of the jittered wait before dialling again, in milliseconds. */
 const INITIAL_REDIAL_CAP_MS = 500;
@@ -120,7 +120,7 @@
     }
     for (const instance of this.#attempts.keys()) {
       const member = this.roster.get(instance);
-      if (!member || isGone(member)) this.#attempts.delete(instance);
+      if (!member || isDeadOrLeft(member)) this.#attempts.delete(instance);
     }
   }
 
--- a/src/membership/member_record.ts
+++ b/src/membership/member_record.ts
@@ -10,7 +10,7 @@
 const MURMUR_SECOND = 0xc2b2ae35;
 
 /** Whether the member is dead or has left, and so has no links and takes no work. */
-export function isGone({ liveness }: Member): boolean {
+export function isDeadOrLeft({ liveness }: Member): boolean {
   return liveness === 'dead' || liveness === 'left';
 }
 
--- a/src/membership/reconciliation.ts
+++ b/src/membership/reconciliation.ts
@@ -7,7 +7,7 @@
 import { type Random } from '../runtime/random.js';
 import { TokenBucket } from '../runtime/token_bucket.js';
 import { type Roster } from './roster.js';
-import { isGone } from './member_record.js';
+import { isDeadOrLeft } from './member_record.js';
 
 /** Differing heartbeats until the dialling end reconciles; the other end waits twice as long. */
 const DIFFERING_HEARTBEATS = 2;
@@ -124,7 +124,7 @@
   #entry(member: Member): RosterEntry {
     const { instance } = member;
     const hash = this.roster.digest.hashOf(instance)!;
-    return isGone(member) ? { instance, hash, isGone: true } : { instance, hash };
+    return isDeadOrLeft(member) ? { instance, hash, isGone: true } : { instance, hash };
   }
 
   /**
@@ -142,7 +142,7 @@
     const theirHashes = new Map(entries.map(({ instance, hash }) => [instance, hash]));
     const members = this.roster.all().filter((member) => {
       const hash = theirHashes.get(member.instance);
-      if (hash === undefined && isGone(member)) return false;
+      if (hash === undefined && isDeadOrLeft(member)) return false;
       const isInDifferingBucket = differing.has(digest.bucketOf(member.instance));
       return isInDifferingBucket && hash !== digest.hashOf(member.instance);
     });
@@ -170,6 +170,6 @@
   #deadToSuspect(member: Member): Member {
     if (member.liveness !== 'dead' || member.instance === this.roster.self.instance) return member;
     const held = this.roster.get(member.instance);
-    return held && !isGone(held) ? { ...member, liveness: 'suspect' } : member;
+    return held && !isDeadOrLeft(held) ? { ...member, liveness: 'suspect' } : member;
   }
 }
--- a/src/membership/retention.ts
+++ b/src/membership/retention.ts
@@ -2,14 +2,14 @@
 import { type Member } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Roster } from './roster.js';
-import { isGone } from './member_record.js';
+import { isDeadOrLeft } from './member_record.js';
 
 /**
  * Retention period of dead and departed members, in milliseconds. Records that show them alive come
  * from processes that were partitioned or paused, or from a registration not yet removed, and are
  * usually minutes old at most. An older one only costs another detection of the failure.
  */
-export const RETENTION_MS = 3_600_000;
+export const MEMBER_RETENTION_MS = 3_600_000;
 /** Maximum number of dead and departed members, about 0.5 MB; the oldest are removed first. */
 export const MAX_RETAINED = 2_048;
 
@@ -36,6 +36,7 @@
 
   #update(member: Member): void {
     this.#expiresAt.delete(member.instance);
-    if (isGone(member)) this.#expiresAt.set(member.instance, this.clock.now() + RETENTION_MS);
+    if (isDeadOrLeft(member))
+      this.#expiresAt.set(member.instance, this.clock.now() + MEMBER_RETENTION_MS);
   }
 }
--- a/src/membership/roster.ts
+++ b/src/membership/roster.ts
@@ -1,19 +1,19 @@
 /** The members known to one process. */
 import { type Endpoint, type Liveness, type Member } from '../contracts.js';
 import { RosterDigest } from './roster_digest.js';
-import { isGone, isNewer } from './member_record.js';
+import { isDeadOrLeft, isNewer } from './member_record.js';
 
 /** Where records came from. */
-export interface Origin {
+export interface UpdateOrigin {
   /** The instance that sent them, to which they are not sent back. */
   readonly instance?: string;
   /** Whether they are a whole roster, which is not forwarded: neighbours reconcile instead. */
   readonly isBulk?: boolean;
 }
 
-type UpdateListener = (members: readonly Member[], origin: Origin) => void;
+type UpdateListener = (members: readonly Member[], origin: UpdateOrigin) => void;
 
-const LOCAL_ORIGIN: Origin = {};
+const LOCAL_ORIGIN: UpdateOrigin = {};
 
 /** Members by instance. Newer records replace older ones; a process refutes those about itself. */
 export class Roster {
@@ -83,7 +83,7 @@
 
   /** Members that are alive or suspected, which may have links and may still finish their work. */
   live(): readonly Member[] {
-    this.#live ??= this.all().filter((member) => !isGone(member));
+    this.#live ??= this.all().filter((member) => !isDeadOrLeft(member));
     return this.#live;
   }
 
@@ -98,7 +98,7 @@
   }
 
   /** Applies records newer than those held; returns the records that changed. */
-  merge(records: readonly Member[], origin: Origin = LOCAL_ORIGIN): Member[] {
+  merge(records: readonly Member[], origin: UpdateOrigin = LOCAL_ORIGIN): Member[] {
     const changed = records
       .map((member) => this.#apply(member))
       .filter((member) => member !== undefined);
@@ -116,7 +116,7 @@
   /** Removes a dead or departed member. */
   forget(instance: string): void {
     const member = this.#members.get(instance);
-    if (!member || !isGone(member) || member === this.#self) return;
+    if (!member || !isDeadOrLeft(member) || member === this.#self) return;
     this.digest.remove(member);
     this.#members.delete(instance);
     this.#generation += 1;
@@ -169,7 +169,7 @@
     if (!before || changesTopology(before, member)) this.#topology += 1;
   }
 
-  #notify(changed: readonly Member[], origin: Origin): void {
+  #notify(changed: readonly Member[], origin: UpdateOrigin): void {
     for (const listener of this.#listeners) listener(changed, origin);
   }
 }
--- a/src/membership/roster_digest.ts
+++ b/src/membership/roster_digest.ts
@@ -1,10 +1,10 @@
 /** Incremental hashes over the records of a roster. */
 import { createHash } from 'node:crypto';
 import { type Member } from '../contracts.js';
-import { hashOf, isGone } from './member_record.js';
+import { hashOf, isDeadOrLeft } from './member_record.js';
 
 /** Number of buckets into which rosters are divided for comparison. */
-export const BUCKETS = 64;
+export const ROSTER_BUCKETS = 64;
 
 /**
  * Dead and departed members are left out of the buckets and the total: processes remove them at
@@ -16,7 +16,7 @@
   readonly #bucketOf = new Map<string, number>();
 
   /** Hash of each bucket, independent of the order in which records arrived. */
-  readonly buckets: number[] = Array.from({ length: BUCKETS }, () => 0);
+  readonly buckets: number[] = Array.from({ length: ROSTER_BUCKETS }, () => 0);
 
   #total = 0;
 
@@ -40,12 +40,12 @@
     const hash = hashOf(after);
     this.#hashes.set(after.instance, hash);
     this.#bucketOf.set(after.instance, bucket);
-    if (!isGone(after)) this.#toggle(after.instance, hash);
+    if (!isDeadOrLeft(after)) this.#toggle(after.instance, hash);
   }
 
   remove(member: Member): void {
     const hash = this.#hashes.get(member.instance) ?? 0;
-    if (!isGone(member)) this.#toggle(member.instance, hash);
+    if (!isDeadOrLeft(member)) this.#toggle(member.instance, hash);
     this.#hashes.delete(member.instance);
     this.#bucketOf.delete(member.instance);
   }
@@ -58,5 +58,5 @@
 }
 
 function bucketOf(instance: string): number {
-  return createHash('sha1').update(instance).digest()[0]! % BUCKETS;
+  return createHash('sha1').update(instance).digest()[0]! % ROSTER_BUCKETS;
 }
--- a/src/platform/http_platform.ts
+++ b/src/platform/http_platform.ts
@@ -10,7 +10,7 @@
   type KeyRange,
   type Stored,
 } from './platform.js';
-import { type Answer, StoreConnection } from './store_connection.js';
+import { type StoreResponse, StoreConnection } from './store_connection.js';
 import { parseChanges, parseObject, parsePage } from './store_objects.js';
 
 const STATUS_OK = 200;
@@ -203,7 +203,7 @@
   }
 }
 
-function bodyOf({ status, body }: Answer): unknown {
+function bodyOf({ status, body }: StoreResponse): unknown {
   if (status === STATUS_OK || status === STATUS_CREATED) return JSON.parse(body);
   // If the store refuses a call, nothing was done; after other failures that is unknown.
   const isRefused = status === 503 || (status >= 400 && status < 500);
--- a/src/platform/store_connection.ts
+++ b/src/platform/store_connection.ts
@@ -4,7 +4,7 @@
 import { type Clock } from '../runtime/clock.js';
 import { type CallMeter } from './call_meter.js';
 
-export interface Answer {
+export interface StoreResponse {
   readonly status: number;
   readonly body: string;
 }
@@ -32,9 +32,9 @@
   ) {}
 
   /** Rejects with an `OutcomeError` if there is no complete answer by the deadline. */
-  call(call: Call): Promise<Answer> {
+  call(call: Call): Promise<StoreResponse> {
     const timeout = Math.max(1, call.deadline - this.clock.now());
-    return new Promise<Answer>((resolve, reject) => {
+    return new Promise<StoreResponse>((resolve, reject) => {
       // Before the socket is connected nothing can have been sent, so a failure is `not-run`.
       let verdict: Verdict = 'not-run';
       const fail = (cause: Error) => {
--- a/src/quarantine/crash_detector.ts
+++ b/src/quarantine/crash_detector.ts
@@ -13,13 +13,13 @@
 } from './request_fingerprint.js';
 
 /** Address on which the upstream instance listens. */
-export interface Address {
+export interface UpstreamAddress {
   readonly host: string;
   readonly port: number;
 }
 
 /** The part of an upstream instance's announcement that crash detection needs. */
-export interface AnnouncedUpstream extends Address {
+export interface AnnouncedUpstream extends UpstreamAddress {
   readonly upstream: string;
 }
 
@@ -31,7 +31,7 @@
 }
 
 /** Resolves to whether a new connection is refused, which proves that nothing listens any more. */
-export type RefusalProbe = (address: Address) => Promise<boolean>;
+export type RefusalProbe = (address: UpstreamAddress) => Promise<boolean>;
 
 /** Time for the other requests in flight at the same crash to fail too, in milliseconds. */
 const GATHER_WINDOW_MS = 50;
@@ -156,7 +156,7 @@
   return status < FIRST_SERVER_ERROR && status !== TOO_MANY_REQUESTS;
 }
 
-function isConnectionRefused({ host, port }: Address): Promise<boolean> {
+function isConnectionRefused({ host, port }: UpstreamAddress): Promise<boolean> {
   return new Promise((resolve) => {
     const socket = connect({ host, port, timeout: PROBE_TIMEOUT_MS });
     const finish = (isRefused: boolean) => {
--- a/src/source/appender.ts
+++ b/src/source/appender.ts
@@ -2,14 +2,14 @@
 import { OutcomeError, type VersionRecord } from '../contracts.js';
 import { type Clock } from '../runtime/clock.js';
 import { type Random } from '../runtime/random.js';
-import { type Log } from './log.js';
+import { type VersionLog } from './log.js';
 
 /** Upper bound of the jittered wait between attempts to resolve a lost answer, in milliseconds. */
 const RETRY_CAP_MS = 200;
 
 export class Appender {
   constructor(
-    private readonly log: Log,
+    private readonly log: VersionLog,
     private readonly clock: Clock,
     private readonly random: Random,
   ) {}
--- a/src/source/audit.ts
+++ b/src/source/audit.ts
@@ -6,7 +6,7 @@
   type VersionRecord,
 } from '../contracts.js';
 import { touchedKeys } from './evaluate.js';
-import { type Log, PAGE_SIZE } from './log.js';
+import { type VersionLog, PAGE_SIZE } from './log.js';
 import { truncateEntry, type Refusals } from './refusals.js';
 
 /** Cursor at the start of the trail. */
@@ -14,7 +14,7 @@
 
 export class Audit {
   constructor(
-    private readonly log: Log,
+    private readonly log: VersionLog,
     private readonly refusals: Refusals,
   ) {}
 
--- a/src/source/head.ts
+++ b/src/source/head.ts
@@ -9,7 +9,7 @@
   type VersionRecord,
 } from '../contracts.js';
 import { touchedKeys } from './evaluate.js';
-import { type Log, PAGE_SIZE } from './log.js';
+import { type VersionLog, PAGE_SIZE } from './log.js';
 import { type Snapshots } from './snapshots.js';
 
 /** What is kept in memory of a version. */
@@ -39,7 +39,7 @@
   #isStarted = false;
 
   constructor(
-    private readonly log: Log,
+    private readonly log: VersionLog,
     private readonly snapshots: Snapshots,
   ) {}
 
--- a/src/source/log.ts
+++ b/src/source/log.ts
@@ -16,7 +16,7 @@
   return `${PREFIX}${String(number).padStart(DIGITS, '0')}`;
 }
 
-export class Log {
+export class VersionLog {
   readonly #parts: Parts;
 
   constructor(private readonly platform: Platform) {
--- a/src/source/log_feed.ts
+++ b/src/source/log_feed.ts
@@ -2,7 +2,7 @@
 import { Feed } from '../distribution/feed.js';
 import { type Replica } from '../distribution/replica.js';
 import { type Platform } from '../platform/platform.js';
-import { Log, PAGE_SIZE } from './log.js';
+import { VersionLog, PAGE_SIZE } from './log.js';
 import { Snapshots } from './snapshots.js';
 
 export class LogFeed extends Feed {
@@ -10,7 +10,7 @@
   #hasTriedSnapshot = false;
 
   constructor(
-    private readonly log: Log,
+    private readonly log: VersionLog,
     private readonly snapshots: Snapshots,
     private readonly replica: Replica,
   ) {
@@ -44,6 +44,6 @@
 }
 
 export function logFeed(platform: Platform, replica: Replica): LogFeed {
-  const log = new Log(platform);
+  const log = new VersionLog(platform);
   return new LogFeed(log, new Snapshots(platform, log), replica);
 }
--- a/src/source/review.ts
+++ b/src/source/review.ts
@@ -5,7 +5,7 @@
 import { type Acceptance, type Accepted, type Conflict } from './acceptance.js';
 import { overwrittenKeys, type Effect, type Evaluation, touchedKeys } from './evaluate.js';
 import { type Head } from './head.js';
-import { type Log } from './log.js';
+import { type VersionLog } from './log.js';
 import { MAX_VERSIONS, type IndexedVersion, type NoteIndex } from './note_index.js';
 import { type Proposal } from './proposal.js';
 
@@ -20,7 +20,7 @@
 
 export class Review {
   constructor(
-    private readonly log: Log,
+    private readonly log: VersionLog,
     private readonly head: Head,
     private readonly index: NoteIndex,
   ) {}
--- a/src/source/snapshots.ts
+++ b/src/source/snapshots.ts
@@ -9,7 +9,7 @@
   SnapshotRecord,
 } from '../contracts.js';
 import { type Platform, type Stored } from '../platform/platform.js';
-import { type Log } from './log.js';
+import { type VersionLog } from './log.js';
 import { partition } from './partition.js';
 import { Parts } from './parts.js';
 
@@ -21,7 +21,7 @@
 
   constructor(
     private readonly platform: Platform,
-    private readonly log: Log,
+    private readonly log: VersionLog,
   ) {
     this.#parts = new Parts(platform);
   }
--- a/src/source/source.ts
+++ b/src/source/source.ts
@@ -17,7 +17,7 @@
 import { Audit, TRAIL_START } from './audit.js';
 import { touchedKeys } from './evaluate.js';
 import { Head } from './head.js';
-import { Log, PAGE_SIZE } from './log.js';
+import { VersionLog, PAGE_SIZE } from './log.js';
 import { Amendment, type Proposal, Submission, Withdrawal } from './proposal.js';
 import { NoteIndex } from './note_index.js';
 import { Publisher, VERSIONS_PER_SNAPSHOT } from './publisher.js';
@@ -40,7 +40,7 @@
   /** Results of the proposals to this process, and refusals missing from the audit trail. */
   readonly counts = { accepted: 0, repeated: 0, refused: 0, conflict: 0, unaudited: 0 };
 
-  readonly #log: Log;
+  readonly #log: VersionLog;
 
   readonly #head: Head;
 
@@ -62,7 +62,7 @@
     private readonly random: Random,
     snapshotEvery = VERSIONS_PER_SNAPSHOT,
   ) {
-    const log = new Log(platform);
+    const log = new VersionLog(platform);
     this.#log = log;
     const index = new NoteIndex(platform);
     const snapshots = new Snapshots(platform, log);
--- a/src/test/claims/claims_test.ts
+++ b/src/test/claims/claims_test.ts
@@ -5,7 +5,7 @@
 import { type Platform } from '../../platform/platform.js';
 import { type ClaimStore } from '../../claims/claim_store.js';
 import { ClaimSweep } from '../../claims/claim_sweep.js';
-import { Claims, RETENTION_MS, type KeyedRequest } from '../../claims/claims.js';
+import { Claims, CLAIM_RETENTION_MS, type KeyedRequest } from '../../claims/claims.js';
 import { type HeldClaim } from '../../claims/held_claim.js';
 import { RangeClaims } from '../../claims/range_claims.js';
 import { SingleClaims } from '../../claims/single_claims.js';
@@ -147,7 +147,7 @@
      */
     it('does not start a run after a pause longer than the retention of its claim', async () => {
       const paused = await acquireClaim(claimsOf('arima-1'));
-      timers.setSystemTime(clock.now() + RETENTION_MS + TIMEOUT_MS + 1);
+      timers.setSystemTime(clock.now() + CLAIM_RETENTION_MS + TIMEOUT_MS + 1);
       const stopping = new AbortController();
       const sweep = new ClaimSweep(store, () => true, clock);
       void sweep.run(stopping.signal);
--- a/src/test/claims/once_test.ts
+++ b/src/test/claims/once_test.ts
@@ -1,7 +1,7 @@
 import { once } from 'node:events';
 import { createServer, request, type Server } from 'node:http';
 import { expect } from 'chai';
-import { sendRequest, type Answer } from '../../bench/http_client.js';
+import { sendRequest, type HttpResponse } from '../../bench/http_client.js';
 import { Claims } from '../../claims/claims.js';
 import { Guard } from '../../requests/guard.js';
 import { MAX_OUTCOME_BODY_BYTES } from '../../claims/outcome.js';
@@ -67,11 +67,11 @@
     };
   }
 
-  function book(port: number, body = 'seat=12'): Promise<Answer> {
+  function book(port: number, body = 'seat=12'): Promise<HttpResponse> {
     return sendRequest({ port, path: '/seats', method: 'POST', headers: headers(), body });
   }
 
-  async function bookUntil(port: number, status: number): Promise<Answer> {
+  async function bookUntil(port: number, status: number): Promise<HttpResponse> {
     for (;;) {
       const answer = await book(port);
       if (answer.status === status) return answer;
@@ -79,7 +79,7 @@
     }
   }
 
-  function summaryOf({ status, headers: got, body }: Answer): unknown {
+  function summaryOf({ status, headers: got, body }: HttpResponse): unknown {
     const names = ['barleyhaven-verdict', 'barleyhaven-reason', 'barleyhaven-replayed'];
     const kept = ['location', 'set-cookie', 'retry-after', ...names];
     return { status, body, ...Object.fromEntries(kept.map((name) => [name, got[name]])) };
--- a/src/test/distribution/test_fleet.ts
+++ b/src/test/distribution/test_fleet.ts
@@ -15,7 +15,7 @@
 import { type Host, MemoryNetwork } from '../../standins/memory_network.js';
 import { PlatformStore } from '../../standins/platform_store.js';
 import { InterruptiblePlatform } from '../../standins/interruptible_platform.js';
-import { Log } from '../../source/log.js';
+import { VersionLog } from '../../source/log.js';
 import { logFeed } from '../../source/log_feed.js';
 import { FakeTime } from '../fake_time.js';
 
@@ -63,7 +63,7 @@
 
   readonly nodes = new Map<string, Node>();
 
-  readonly log = new Log(this.platform);
+  readonly log = new VersionLog(this.platform);
 
   /** Names of data centres or processes that are disconnected from the platform. */
   readonly cutOff = new Set<string>();
--- a/src/test/membership/suspicions_test.ts
+++ b/src/test/membership/suspicions_test.ts
@@ -1,6 +1,6 @@
 import { install } from '@sinonjs/fake-timers';
 import { expect } from 'chai';
-import { MAX_RETAINED, RETENTION_MS, Retention } from '../../membership/retention.js';
+import { MAX_RETAINED, MEMBER_RETENTION_MS, Retention } from '../../membership/retention.js';
 import { Roster } from '../../membership/roster.js';
 import { SUSPICION_TIMEOUT_MS, Suspicions } from '../../membership/suspicions.js';
 import { TimerClock } from '../../runtime/clock.js';
@@ -67,12 +67,12 @@
     const { roster, clock, timers } = world;
     const retention = new Retention(roster, clock);
     roster.setLiveness('b', 'dead');
-    timers.tick(RETENTION_MS / 2);
+    timers.tick(MEMBER_RETENTION_MS / 2);
     retention.sweep();
     roster.merge([memberOf('b')]);
     expect(roster.get('b')!.liveness).to.equal('dead');
     const { hash } = roster;
-    timers.tick(RETENTION_MS);
+    timers.tick(MEMBER_RETENTION_MS);
     retention.sweep();
     expect(roster.get('b')).to.equal(undefined);
     expect(roster.hash).to.equal(hash);
--- a/src/test/quarantine/crash_detector_test.ts
+++ b/src/test/quarantine/crash_detector_test.ts
@@ -1,6 +1,6 @@
 import { createServer, type Server } from 'node:http';
 import { expect } from 'chai';
-import { sendRequest, type Answer } from '../../bench/http_client.js';
+import { sendRequest, type HttpResponse } from '../../bench/http_client.js';
 import { type Bulletin, type EndpointState } from '../../contracts.js';
 import { CrashDetector } from '../../quarantine/crash_detector.js';
 import { Guard } from '../../requests/guard.js';
@@ -83,7 +83,7 @@
     return server;
   }
 
-  function book({ port }: Pick<GuardedUpstream, 'port'>, body: string): Promise<Answer> {
+  function book({ port }: Pick<GuardedUpstream, 'port'>, body: string): Promise<HttpResponse> {
     const headers = { 'barleyhaven-upstream': 'bookings', 'barleyhaven-remaining-ms': '5000' };
     return sendRequest({ port, path: '/seats', method: 'POST', headers, body });
   }
@@ -98,7 +98,7 @@
     return verdictOf(answer);
   }
 
-  function verdictOf({ headers }: Answer): string {
+  function verdictOf({ headers }: HttpResponse): string {
     const { 'barleyhaven-verdict': verdict, 'barleyhaven-reason': reason = '-' } = headers;
     return `${String(verdict)} ${String(reason)}`;
   }
--- a/src/test/requests/safeguards_test.ts
+++ b/src/test/requests/safeguards_test.ts
@@ -1,5 +1,5 @@
 import { expect } from 'chai';
-import { sendRequest, type Answer } from '../../bench/http_client.js';
+import { sendRequest, type HttpResponse } from '../../bench/http_client.js';
 import { Fleet } from '../../bench/fleet.js';
 import { ReleaseNote } from '../../contracts.js';
 import { MachineClock } from '../../runtime/clock.js';
@@ -40,7 +40,11 @@
     expect(await fleet.waitUntil(condition, clock.now() + WAIT_TIMEOUT_MS)).to.equal(true);
   }
 
-  function book(index: number, headers: Record<string, string>, body = 'seat 12'): Promise<Answer> {
+  function book(
+    index: number,
+    headers: Record<string, string>,
+    body = 'seat 12',
+  ): Promise<HttpResponse> {
     const { callerPort: port } = fleet.nodes[index]!.instance;
     return sendRequest({ port, path: '/seats/1', method: 'POST', headers, body });
   }
--- a/src/test/source/fixture.ts
+++ b/src/test/source/fixture.ts
@@ -5,7 +5,7 @@
 import { type Platform } from '../../platform/platform.js';
 import { TimerClock } from '../../runtime/clock.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { Log } from '../../source/log.js';
+import { VersionLog } from '../../source/log.js';
 import { type Acceptance } from '../../source/acceptance.js';
 import { VERSIONS_PER_SNAPSHOT } from '../../source/publisher.js';
 import { Source } from '../../source/source.js';
@@ -24,7 +24,7 @@
 
   readonly store = new PlatformStore(this.clock);
 
-  readonly log = new Log(this.store);
+  readonly log = new VersionLog(this.store);
 
   #seed = 0;
 
--- a/src/test/source/snapshots_test.ts
+++ b/src/test/source/snapshots_test.ts
@@ -3,7 +3,7 @@
 import { Reader } from '../../distribution/reader.js';
 import { type Ranking } from '../../membership/ranking.js';
 import { SeededRandom } from '../../runtime/random.js';
-import { Log } from '../../source/log.js';
+import { VersionLog } from '../../source/log.js';
 import { LogFeed } from '../../source/log_feed.js';
 import { VERSIONS_PER_SNAPSHOT } from '../../source/publisher.js';
 import { Snapshots } from '../../source/snapshots.js';
@@ -24,7 +24,7 @@
 }
 
 async function latest(fixture: Fixture): Promise<number | undefined> {
-  const log = new Log(fixture.store);
+  const log = new VersionLog(fixture.store);
   return (await new Snapshots(fixture.store, log).load(0, fixture.deadline))?.number;
 }
 
