--- a/src/bench/experiments/rollout.ts
+++ b/src/bench/experiments/rollout.ts
@@ -7,7 +7,7 @@
 const MS_PER_SECOND = 1_000;
 
 /**
- * Simulates roll-outs of sound and faulty versions: how soon they end, how many requests the new
+ * Simulates rollouts of sound and faulty versions: how soon they end, how many requests the new
  * version gets, and how often the verdict is wrong.
  */
 export class RolloutSimulations extends Experiment {
--- a/src/bench/rollouts/rollout_simulation.ts
+++ b/src/bench/rollouts/rollout_simulation.ts
@@ -1,4 +1,4 @@
-/** Simulates one roll-out with the production regression detector and phase transitions. */
+/** Simulates one rollout with the production regression detector and phase transitions. */
 import { type Rollout, type RolloutPhase } from '../../contracts.js';
 import { AnswerCounter, EvidenceStore } from '../../rollout/evidence_store.js';
 import { RegressionDetector } from '../../rollout/regression_detector.js';
@@ -14,7 +14,7 @@
 const RARE_SHARE = 0.2;
 /** Time from the order until the endpoints of its version have started, in milliseconds. */
 const ENDPOINT_START_MS = 1_500;
-/** Duration of the roll-out as ordered, in milliseconds. */
+/** Duration of the rollout as ordered, in milliseconds. */
 export const DURATION_MS = 16_000;
 const ALLOWED_SHARE = 0.1;
 const ALLOWED_SLACK = 50;
@@ -37,7 +37,7 @@
 
 export interface RolloutResult {
   readonly phase: RolloutPhase;
-  /** Time from the order until the roll-out ended, in milliseconds. */
+  /** Time from the order until the rollout ended, in milliseconds. */
   readonly tookMs: number;
   /** Requests sent to the candidate, and how many a faulty one may get at most. */
   readonly candidateRequests: number;
@@ -105,7 +105,7 @@
   /** Messages in transit; each is delivered at its instant. */
   #inTransit: { readonly at: number; readonly deliver: () => void }[] = [];
 
-  /** The roll-out as the detector knows it; the phase reaches the entries later. */
+  /** The rollout as the detector knows it; the phase reaches the entries later. */
   #rollout: Rollout = ORDER;
 
   #phaseAtEntries: RolloutPhase = 'trial';
--- a/src/bench/rollouts/version_behaviour.ts
+++ b/src/bench/rollouts/version_behaviour.ts
@@ -1,4 +1,4 @@
-/** Behaviours of a version in simulated roll-outs. */
+/** Behaviours of a version in simulated rollouts. */
 
 /** State of an endpoint when a request starts. */
 export interface RequestContext {
--- a/src/daemon/instance.ts
+++ b/src/daemon/instance.ts
@@ -52,7 +52,7 @@
   readonly dialect?: Dialect;
   /** Creates the source of configuration versions; the log of release notes if absent. */
   readonly feed?: (replica: Replica) => Feed;
-  /** Source of roll-out orders; without it endpoints of all versions are treated alike. */
+  /** Source of rollout orders; without it endpoints of all versions are treated alike. */
   readonly orders?: OrderSource;
   readonly pace?: Pace;
   /** Nothing is logged if absent. */
@@ -100,7 +100,7 @@
 
   readonly safeguards: Safeguards;
 
-  /** Absent without a source of roll-out orders. */
+  /** Absent without a source of rollout orders. */
   readonly rollouts: Rollouts | undefined;
 
   readonly #operators: OperatorsPort;
--- a/src/daemon/settings.ts
+++ b/src/daemon/settings.ts
@@ -85,7 +85,7 @@
   uplinkKbps:
     'Capacity of the network link of this machine, in kilobits per second; large responses are not paced if absent',
   rolloutShare:
-    "Largest share of an upstream's requests that a bad version may get during a roll-out, 0 to 1",
+    "Largest share of an upstream's requests that a bad version may get during a rollout, 0 to 1",
   logLevel: 'Lowest level logged to standard output: debug, info, warn or silent',
   stopMs: 'Longest time that a stop may take to finish requests in flight, in milliseconds',
 };
--- a/src/logs/events.ts
+++ b/src/logs/events.ts
@@ -188,16 +188,16 @@
     upstream: z.string(),
     version: z.string(),
     phase: RolloutPhase,
-    /** Time that the operator allows for the roll-out. */
+    /** Time that the operator allows for the rollout. */
     durationMs: z.number(),
   }),
   z.object({
-    /** The response of the platform could not be parsed as roll-out orders. */
+    /** The response of the platform could not be parsed as rollout orders. */
     event: z.literal('orders-unread'),
     message: z.string(),
   }),
   z.object({
-    /** Verdict of this process on a roll-out, with the evidence for it. */
+    /** Verdict of this process on a rollout, with the evidence for it. */
     event: z.literal('rollout-judged'),
     upstream: z.string(),
     version: z.string(),
--- a/src/test/tool/render_status_test.ts
+++ b/src/test/tool/render_status_test.ts
@@ -35,7 +35,7 @@
     expect(renderStatus(FULL_STATUS)).toMatchSnapshot();
   });
 
-  it('shows the phase of each roll-out', () => {
+  it('shows the phase of each rollout', () => {
     const rollouts = [
       orderOf({ phase: 'proof' }),
       orderOf({ upstream: 'bookings', version: 'v3', phase: 'rolled-back', durationMs: 12_000 }),
--- a/src/tool/render_status.ts
+++ b/src/tool/render_status.ts
@@ -1,4 +1,4 @@
-/** Renders the output of `status`: the latest versions, which processes hold them, and roll-outs. */
+/** Renders the output of `status`: the latest versions, which processes hold them, and rollouts. */
 import { type Rollout, type AcceptedVersion, type Status, type Survey } from '../contracts.js';
 import { formatInstant } from './render_audit.js';
 import { table } from './table.js';
@@ -101,7 +101,7 @@
     phase,
     `within ${Math.round(durationMs / SECOND_MS)} s`,
   ]);
-  return ['roll-outs:', ...table(rows)];
+  return ['rollouts:', ...table(rows)];
 }
 
 /** An age in milliseconds, rounded down in the largest unit that fits, such as `4 min`. */
