--- a/src/contracts/member.ts
+++ b/src/contracts/member.ts
@@ -36,9 +36,7 @@
 export const Liveness = z.enum(['alive', 'suspect', 'dead', 'left']);
 export type Liveness = z.infer<typeof Liveness>;
 
-/**
- * A statement about one process of the system; `isNewer` decides which of two statements prevails.
- */
+/** A record of one process of the system; `isNewer` decides which of two records prevails. */
 export const Member = z.strictObject({
   instance: z.string().min(1),
   dataCentre: z.string().min(1),
--- a/src/contracts/message.ts
+++ b/src/contracts/message.ts
@@ -104,7 +104,7 @@
 });
 export type Pulled = z.infer<typeof Pulled>;
 
-/** Statements about members that are new to the sender's neighbours. */
+/** Member records that are new to the sender's neighbours. */
 export const Gossip = z.strictObject({ members: z.array(Member) });
 export type Gossip = z.infer<typeof Gossip>;
 
--- a/src/contracts/reconciliation.ts
+++ b/src/contracts/reconciliation.ts
@@ -6,10 +6,10 @@
 export const BucketHashes = z.strictObject({ buckets: z.array(z.number().int()) });
 export type BucketHashes = z.infer<typeof BucketHashes>;
 
-/** Identifies a statement about a member without its content. */
+/** Identifies a member record without its content. */
 export const RosterEntry = z.strictObject({
   instance: z.string(),
-  /** Hash of the statement held about the instance. */
+  /** Hash of the record held of the instance. */
   hash: z.number().int(),
   /**
    * Whether the instance is dead or has left; only relevant to a receiver that considers it alive.
@@ -25,7 +25,7 @@
 });
 export type RosterDifference = z.infer<typeof RosterDifference>;
 
-/** Statements that the other end lacks, and instances whose statements are requested. */
+/** Records that the other end lacks, and instances whose records are requested. */
 export const RosterExchange = z.strictObject({
   members: z.array(Member),
   wanted: z.array(z.string()),
--- a/src/distribution/mesh.ts
+++ b/src/distribution/mesh.ts
@@ -183,8 +183,8 @@
   }
 
   /**
-   * Sends a peer the statement held about it, if that says it is not alive or has a higher
-   * incarnation (the peer's clock went back over a restart), so that the peer can refute it.
+   * Sends a peer the record held of it, if that says it is not alive or has a higher incarnation
+   * (the peer's clock went back over a restart), so that the peer can refute it.
    */
   #sendKnownStatement(peer: Peer): void {
     const known = this.roster.get(peer.member!.instance)!;
--- a/src/distribution/methods.ts
+++ b/src/distribution/methods.ts
@@ -44,7 +44,7 @@
   params: BucketHashes,
   result: RosterDifference,
 };
-/** Exchanges the statements about members that differ. */
+/** Exchanges the member records that differ. */
 export const EXCHANGE: Method<RosterExchange, Gossip> = {
   name: 'exchange',
   params: RosterExchange,
